--- a/bench/corebench.py
+++ b/bench/corebench.py
@@ -29,7 +29,7 @@
     def __init__(self, policy: candidates.Policy) -> None:
         view = servers.ServerView()
         self.state = shard.Shard("shard-0")
-        jobs = scheduler.Scheduler(view, policy, scheduler.WaitPlan())
+        jobs = scheduler.Scheduler(view, policy, scheduler.QueueOptions())
         cfg = configuration.parse(_CONFIG)
         self.leader = leader.ShardLeader(self.state, jobs, cfg)
         self.leader.entry_connected(_ENTRY)
@@ -46,7 +46,7 @@
                 capacity=64,
                 cache_tokens=1_000_000,
             )
-            view.report(report, 0)
+            view.apply_report(report, 0)
             self.leader.reported(report, 0)
 
     def act(self, found: list[commands.Command]) -> list[messages.Granted]:
--- a/bench/deciding/gateway.py
+++ b/bench/deciding/gateway.py
@@ -8,7 +8,7 @@
 
 from catkinpin.core.control.ledger import Begin, Finish
 from catkinpin.core.placement import urgency
-from catkinpin.core.placement.speeds import Streamed
+from catkinpin.core.placement.speeds import StreamTimings
 from catkinpin.core.requests.calls import PromptPart, RouteCall
 
 if TYPE_CHECKING:
@@ -100,12 +100,12 @@
         rank = self.policy.rank(began.program_status)
         known = self._world.fleet.get(began.server)
         if known is not None:
-            self.policy.balancer.read(known, turn.prompt[:-1])
+            self.policy.balancer.record_prompt(known, turn.prompt[:-1])
         began_ms = self._env.now
         end, server = yield from self._run_turn(call, turn, rank)
         took_ms = round(self._env.now - began_ms)
         tokens = turn.tokens if end is End.SERVED else 0
-        speed = self.policy.speeds.engine("models")
+        speed = self.policy.speeds.engine_speed("models")
         ledger.finish(
             Finish(
                 attempt=turn.attempt,
@@ -135,17 +135,17 @@
             sent_to.append(instance.id)
             service = self._world.services[instance.id]
             yield self._way(instance)
-            self.policy.balancer.sent(instance, RouteCall("x"))
+            self.policy.balancer.record_sent(instance, RouteCall("x"))
             sent_ms = self._env.now
             running = service.submit(call.work_ms)
             if running is None:
-                self.policy.balancer.ended(instance)
+                self.policy.balancer.record_ended(instance)
                 self._report_load(instance, service)
                 continue
             end = yield from self._await_call(service, instance, running)
             if end is End.SERVED:
                 took_ms = self._env.now - sent_ms
-                self.policy.speeds.answered(route, took_ms)
+                self.policy.speeds.record_plain_call(route, took_ms)
             return end
         return End.REFUSED
 
@@ -159,7 +159,7 @@
                 break
             instance = choice.instance
             balancer = self.policy.balancer
-            if rank >= urgency.HOPELESS and balancer.is_busy(
+            if rank >= urgency.URGENCY_EXPIRED and balancer.is_busy(
                 instance, self._now_ms
             ):
                 break
@@ -169,7 +169,7 @@
             yield self._way(instance)
             if not engine.is_up:
                 yield self._env.timeout(_CONNECT_MS)
-                balancer.failed(instance, self._now_ms, sure=True)
+                balancer.record_failure(instance, self._now_ms, immediate=True)
                 continue
             end = yield from self._exchange(engine, choice, call, turn, rank)
             if end is End.SERVED:
@@ -188,7 +188,7 @@
         rank: int,
     ) -> Steps:
         instance = choice.instance
-        self.policy.balancer.sent(instance, call)
+        self.policy.balancer.record_sent(instance, call)
         sent_ms = self._env.now
         yield self._env.timeout(engine.shape.first_ms)
         job = engine.submit(turn.prompt, turn.tokens, rank)
@@ -202,14 +202,16 @@
                 yield job.done
                 yield self._way(instance)
             if not job.done.value:
-                self.policy.balancer.failed(instance, self._now_ms, sure=False)
+                self.policy.balancer.record_failure(
+                    instance, self._now_ms, immediate=False
+                )
                 return End.BROKEN
-            self.policy.balancer.succeeded(instance)
+            self.policy.balancer.record_success(instance)
             self._learn(choice, call, job, first_ms, load.running, load.waiting)
             return End.SERVED
         finally:
             engine.cancel(job)
-            self.policy.balancer.ended(instance)
+            self.policy.balancer.record_ended(instance)
 
     def _learn(
         self,
@@ -223,14 +225,14 @@
         wanted = sum(part.tokens for part in call.prompt)
         new = call.prompt[-1].tokens
         instance = choice.instance
-        sample = Streamed(
+        sample = StreamTimings(
             read_tokens=new if choice.cached_tokens == wanted - new else None,
             first_ms=first_ms,
             gaps_ms=job.gaps_ms,
-            beside=max(0, running - 1),
+            concurrent=max(0, running - 1),
             waiting=waiting,
         )
-        self.policy.speeds.streamed(
+        self.policy.speeds.record_stream(
             "models", instance.id, instance.started_ms, sample, self._now_ms
         )
 
@@ -241,11 +243,11 @@
             yield running.done
             yield self._way(instance)
             self._report_load(instance, service)
-            self.policy.balancer.succeeded(instance)
+            self.policy.balancer.record_success(instance)
             return End.SERVED if running.done.value else End.BROKEN
         finally:
             service.cancel(running)
-            self.policy.balancer.ended(instance)
+            self.policy.balancer.record_ended(instance)
 
     def _report_load(self, instance: Instance, service: Service) -> None:
         self.policy.balancer.report_load(instance, service.load(), self._now_ms)
--- a/bench/deciding/policies.py
+++ b/bench/deciding/policies.py
@@ -9,7 +9,7 @@
 from catkinpin.core.placement import balance, urgency
 from catkinpin.core.placement.balance import Balancer, Choice
 from catkinpin.core.placement.placer import Placer, PlaceTurn, TurnReport
-from catkinpin.core.placement.speeds import EngineSpeed, Speeds, Streamed
+from catkinpin.core.placement.speeds import EngineSpeed, Speeds, StreamTimings
 
 if TYPE_CHECKING:
     import random
@@ -65,13 +65,13 @@
 
     balancer: Balancer
     speeds: Speeds
-    rank: Callable[[ProgramStatus], int] = urgency.of_turn
+    rank: Callable[[ProgramStatus], int] = urgency.turn_urgency
 
 
 def _plain(
     kind: type[Balancer] = Balancer,
     make_speeds: Callable[[], Speeds] = Speeds,
-    rank: Callable[[ProgramStatus], int] = urgency.of_turn,
+    rank: Callable[[ProgramStatus], int] = urgency.turn_urgency,
 ) -> Callable[[Place], Policy]:
     """Returns a variant that needs no more than a gateway knows."""
 
@@ -91,11 +91,11 @@
         self._speed = speed
         self._fixed_plain_ms = plain_ms
 
-    def engine(self, service: str) -> EngineSpeed:
+    def engine_speed(self, service: str) -> EngineSpeed:
         """Returns the same for all services."""
         return self._speed
 
-    def factor(self, server: str, now_ms: int) -> float:
+    def slowdown(self, server: str, now_ms: int) -> float:
         """Returns that no server differs."""
         return 1.0
 
@@ -103,12 +103,12 @@
         """Returns the same for all routes."""
         return self._fixed_plain_ms
 
-    def streamed(
+    def record_stream(
         self,
         service: str,
         server: str,
         started_ms: int,
-        sample: Streamed,
+        sample: StreamTimings,
         now_ms: int,
     ) -> None:
         """Learns nothing."""
@@ -117,14 +117,16 @@
 class _NoFactors(Speeds):
     """All servers of a service are alike."""
 
-    def factor(self, server: str, now_ms: int) -> float:
+    def slowdown(self, server: str, now_ms: int) -> float:
         return 1.0
 
 
 class _NoCache(Balancer):
     """Prompts lie nowhere."""
 
-    def read(self, instance: Instance, prompt: Iterable[PromptPart]) -> None:
+    def record_prompt(
+        self, instance: Instance, prompt: Iterable[PromptPart]
+    ) -> None:
         pass
 
 
@@ -138,15 +140,17 @@
 class _NoEjection(Balancer):
     """Servers that fail are asked again at once."""
 
-    def failed(self, instance: Instance, now_ms: int, *, sure: bool) -> bool:
+    def record_failure(
+        self, instance: Instance, now_ms: int, *, immediate: bool
+    ) -> bool:
         return False
 
 
 class _Own(Balancer):
     """Only a request's own time counts."""
 
-    def _others_ms(
-        self, work: balance.Work, beside: int, queued: int, slots: int
+    def _cost_to_others_ms(
+        self, work: balance.WorkEstimate, beside: int, queued: int, slots: int
     ) -> float:
         return 0.0
 
@@ -156,15 +160,17 @@
 
     truth: Truth
 
-    def _running(self, server: balance.Server, now_ms: int) -> int:
+    def _running_estimate(
+        self, server: balance.TrackedServer, now_ms: int
+    ) -> int:
         load = self.truth.load(server.id)
         return load.running + load.waiting
 
-    def _is_fresh(self, server: balance.Server, now_ms: int) -> bool:
+    def _is_fresh(self, server: balance.TrackedServer, now_ms: int) -> bool:
         return True
 
     def _cached(
-        self, server: balance.Server, prompt: tuple[PromptPart, ...]
+        self, server: balance.TrackedServer, prompt: tuple[PromptPart, ...]
     ) -> int:
         engine = self.truth.engines.get(server.id)
         return engine.cache.held(prompt) if engine is not None else 0
@@ -186,7 +192,7 @@
         )
         self._truth = truth
 
-    def factor(self, server: str, now_ms: int) -> float:
+    def slowdown(self, server: str, now_ms: int) -> float:
         engine = self._truth.engines.get(server)
         return engine.factor if engine is not None else 1.0
 
@@ -244,8 +250,8 @@
         fit = _fit(self, servers, avoid, now_ms)
         if not fit:
             return None
-        least = min(self._of(one).sent for one in fit)
-        near = [one for one in fit if self._of(one).sent == least]
+        least = min(self._tracked(one).in_flight for one in fit)
+        near = [one for one in fit if self._tracked(one).in_flight == least]
         return Choice(self._rng.choice(near), 0.0, 0, -1)
 
 
@@ -320,18 +326,18 @@
             name = self.placer.place(call.attempt, turn, listed, None, now_ms)
             for one in listed:
                 if one.id == name:
-                    return self.weigh(one, call, now_ms)
+                    return self.estimate(one, call, now_ms)
         return super().pick(listed, call, now_ms, avoid, route)
 
-    def sent(self, instance: Instance, call: RouteCall) -> None:
-        super().sent(instance, call)
+    def record_sent(self, instance: Instance, call: RouteCall) -> None:
+        super().record_sent(instance, call)
         self._attempts[instance.id].append(call.attempt)
 
-    def ended(self, instance: Instance) -> None:
-        super().ended(instance)
+    def record_ended(self, instance: Instance) -> None:
+        super().record_ended(instance)
         if self._attempts[instance.id]:
             attempt = self._attempts[instance.id].pop(0)
-            self.placer.settle(attempt, TurnReport(), 0)
+            self.placer.finish(attempt, TurnReport(), 0)
 
 
 def _leader_placement() -> Callable[[Place], Policy]:
@@ -363,7 +369,7 @@
 
 
 def _all_alike(program_status: ProgramStatus) -> int:
-    return urgency.USUAL
+    return urgency.URGENCY_DEFAULT
 
 
 # What the engines of the first users take; all before speeds were learned.
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -76,8 +76,8 @@
 
     def make_scheduler(self, view: servers.ServerView) -> scheduler.Scheduler:
         """Returns a scheduler that keeps calls until a server has room."""
-        policy = candidates.by_cost(candidates.Prices())
-        return scheduler.Scheduler(view, policy, scheduler.WaitPlan())
+        policy = candidates.by_cost(candidates.CostModel())
+        return scheduler.Scheduler(view, policy, scheduler.QueueOptions())
 
 
 class UnlimitedWorld(worlds.World):
@@ -92,7 +92,7 @@
         super().elect()
         assert self.leader is not None
         self.leader.retries = limits.RetryBudget(share=1_000.0)
-        self.leader.admission = limits.Admission(early=False)
+        self.leader.admission = limits.Admission(refuses_late_calls=False)
 
 
 class BudgetlessWorld(LimitedWorld):
@@ -103,7 +103,7 @@
         super().elect()
         assert self.leader is not None
         self.leader.retries = limits.RetryBudget(share=1_000.0)
-        self.leader.admission = limits.Admission(early=False)
+        self.leader.admission = limits.Admission(refuses_late_calls=False)
 
 
 @dataclasses.dataclass
--- a/bench/shardcost.py
+++ b/bench/shardcost.py
@@ -58,13 +58,13 @@
                 region="region-0",
                 capacity=122,
             )
-            view.report(report, 0)
-        prices = candidates.Prices()
+            view.apply_report(report, 0)
+        prices = candidates.CostModel()
         jobs = scheduler.Scheduler(
             view,
             candidates.by_cost(prices),
-            scheduler.WaitPlan(),
-            candidates.keeps_home(prices),
+            scheduler.QueueOptions(),
+            candidates.home_is_cheapest(prices),
         )
         deployment = deployments.Deployment(
             name="all", targets=["model"], budget_tokens=1_000_000_000
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -43,17 +43,17 @@
 def _view(count: int) -> servers.ServerView:
     view = servers.ServerView()
     for number in range(count):
-        view.report(_report(number, []), 0)
+        view.apply_report(_report(number, []), 0)
     return view
 
 
 def _scheduler(view: servers.ServerView) -> scheduler.Scheduler:
-    prices = candidates.Prices()
+    prices = candidates.CostModel()
     return scheduler.Scheduler(
         view,
-        candidates.by_cost(prices, note=explanations.Decisions().note),
-        scheduler.WaitPlan(),
-        candidates.keeps_home(prices),
+        candidates.by_cost(prices, observe=explanations.Decisions().note),
+        scheduler.QueueOptions(),
+        candidates.home_is_cheapest(prices),
     )
 
 
@@ -92,7 +92,7 @@
     for number in range(_DECISIONS):
         job = _job(number, turn)
         jobs.submit(job, number // 100)
-        jobs.ended(job.key, number // 100)
+        jobs.end_call(job.key, number // 100)
     return (time.perf_counter() - begin) / _DECISIONS * 1e6
 
 
@@ -103,7 +103,7 @@
     for number in range(programs):
         job = _job(number, 0)
         jobs.submit(job, 0)
-        jobs.ended(job.key, 0)
+        jobs.end_call(job.key, 0)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size / programs
@@ -116,14 +116,14 @@
     for number in range(held):
         account, _, program = names[number].partition("/")
         key = messages.ProgramKey(account=account, program=program)
-        view.servers["server-0"].residents.started(key, 100, 0)
-        view.servers["server-0"].residents.ended(key, 100, 0)
+        view.servers["server-0"].residents.start_call(key, 100, 0)
+        view.servers["server-0"].residents.end_call(key, 100, 0)
     size = len(codec.encode(_report(0, names)))
     random.Random(0).shuffle(names)
     best = float("inf")
     for turn in range(1, 1 + _REPEATS):
         begin = time.perf_counter()
-        view.report(_report(0, names), turn)
+        view.apply_report(_report(0, names), turn)
         best = min(best, time.perf_counter() - begin)
     return size, best * 1e6
 
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -21,12 +21,12 @@
 
 
 def _policy(view: ServerView) -> scheduler.Scheduler:
-    prices = candidates.Prices()
+    prices = candidates.CostModel()
     return scheduler.Scheduler(
         view,
         candidates.by_cost(prices),
-        scheduler.WaitPlan(),
-        candidates.keeps_home(prices),
+        scheduler.QueueOptions(),
+        candidates.home_is_cheapest(prices),
     )
 
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -135,7 +135,7 @@
     def ended(self, run: ProgramRun) -> None:
         """Releases what a program held, under any policy."""
         self._alive.discard(run)
-        self.scheduler.program_ended(run.key)
+        self.scheduler.end_program(run.key)
         for machine in self.machines.values():
             if isinstance(machine, Engine):
                 machine.cache.release(run.own)
@@ -152,7 +152,7 @@
     def freed(self, key: messages.CallKey, usage: messages.Usage) -> None:
         """Tells the leader that a call's attempt has ended."""
         now = round(self.events.now_ms)
-        self._decided(self.scheduler.ended(key, now, usage))
+        self._decided(self.scheduler.end_call(key, now, usage))
 
     def travel(
         self, here: Domain, there: Domain, size: int, then: Callable[[], None]
@@ -217,7 +217,7 @@
             report = self._content(self._plans[name], machine)
             made = round(self.events.now_ms)
             self.events.after(
-                lag, functools.partial(self._view.report, report, made)
+                lag, functools.partial(self._view.apply_report, report, made)
             )
         self.events.after(
             _REPORT_EVERY_MS, functools.partial(self._report, name)
@@ -355,11 +355,11 @@
             region=self.script.domain.region,
             last_server=self._last_server,
             deadline_ms=round(call.begun_ms) + self.script.deadline_ms,
-            without=failed,
+            excluded_servers=failed,
             interactive=self.script.interactive,
             parent=self.parent.script.program if self.parent else "",
             shared_tokens=shared,
-            allowed=self._world.allowed,
+            is_allowed=self._world.allowed,
         )
 
     def chain(self, segment: Segment) -> list[Segment]:
--- a/catkinpin/adapters/entry/calls.py
+++ b/catkinpin/adapters/entry/calls.py
@@ -77,7 +77,7 @@
         self._streams = False
         self.final: Final | None = None
         self.verdict = Verdict.NOT_RUN
-        self._splice = splice.Splice()
+        self._splice = splice.StreamSplicer()
         self._diverged = False
 
     def restart(self) -> None:
--- a/catkinpin/adapters/entry/dispatch.py
+++ b/catkinpin/adapters/entry/dispatch.py
@@ -44,7 +44,7 @@
         self._timeouts = timeouts
         self._clock = clock
         self._servers = backends.Backends(timeouts.connect_ms / _MS_PER_S)
-        self._gaps = pauses.Gaps(
+        self._gaps = pauses.GapEstimator(
             timeouts.progress_low_ms, timeouts.progress_high_ms
         )
         self.grants = grants.Grants()
--- a/catkinpin/adapters/entry/modelcalls.py
+++ b/catkinpin/adapters/entry/modelcalls.py
@@ -20,7 +20,7 @@
 
     from catkinpin.adapters.entry.outgoing import Outgoing
     from catkinpin.core.messages import Finish, Granted
-    from catkinpin.core.requests.pauses import Gaps
+    from catkinpin.core.requests.pauses import GapEstimator
 
 _SSE_END = b"[DONE]"
 _DATA = b"data:"
@@ -46,7 +46,7 @@
         grant: Granted,
         req: Outgoing,
         headers: dict[str, str],
-        gaps: Gaps,
+        gaps: GapEstimator,
         first_s: float,
         on_data: Callable[[bytes], None],
     ) -> None:
@@ -175,10 +175,7 @@
             ) from exc
 
     def _retry_delay_s(self) -> float:
-        return (
-            self._gaps.election_timeout_ms(self._grant.server.server)
-            / _MS_PER_S
-        )
+        return self._gaps.timeout_ms(self._grant.server.server) / _MS_PER_S
 
     async def _refused(
         self, resp: aiohttp.ClientResponse, *, first: bool
@@ -224,7 +221,7 @@
         now = _now()
         if self._last and not self._resumed:
             gap_ms = (now - self._last) * _MS_PER_S
-            self._gaps.note(self._grant.server.server, gap_ms)
+            self._gaps.record_gap(self._grant.server.server, gap_ms)
         self._last = now
 
 
--- a/catkinpin/adapters/gateway/context.py
+++ b/catkinpin/adapters/gateway/context.py
@@ -16,7 +16,7 @@
     from catkinpin.clock import Clock
     from catkinpin.core.placement.balance import Balancer
     from catkinpin.core.placement.speeds import Speeds
-    from catkinpin.core.placement.unresponsive import WaitingCalls
+    from catkinpin.core.placement.unresponsive import PendingCalls
 
 
 @dataclasses.dataclass(frozen=True)
@@ -45,6 +45,6 @@
     codec: HeaderCodec
     clock: Clock
     usage: Usage
-    waiting: WaitingCalls
+    waiting: PendingCalls
     gateways: Callable[[], int]
     domain: str = ""
--- a/catkinpin/adapters/gateway/exchange.py
+++ b/catkinpin/adapters/gateway/exchange.py
@@ -70,9 +70,9 @@
             return None
         servers = self._view.fleet.of(work.service.name)
         now_ms = self._clock.now_ms()
-        overdue = self._waiting.unresponsive(now_ms)
+        overdue = self._waiting.overdue_servers(now_ms)
         if overdue:
-            unresponsive.leave_out(
+            unresponsive.eject_unresponsive(
                 self._balancer, overdue, servers, now_ms, now_ms + _AVOID_MS
             )
         choice = self._placed(work, now_ms) or self._balancer.pick(
@@ -81,7 +81,7 @@
         if choice is None:
             work.reason = work.reason or "no server is left"
             return None
-        hopeless = work.urgency >= urgency.HOPELESS
+        hopeless = work.urgency >= urgency.URGENCY_EXPIRED
         if hopeless and self._balancer.is_busy(choice.instance, now_ms):
             work.reason = "past twice its time, and its server is busy"
             return None
@@ -96,7 +96,7 @@
         is_ready = instance.state is ServerState.READY
         if not is_ready or instance.service != work.service.name:
             return None
-        return self._balancer.weigh(instance, work.call, now_ms)
+        return self._balancer.estimate(instance, work.call, now_ms)
 
     async def send(
         self, work: Work, choice: Choice, body: bytes, resume_at: str = ""
@@ -115,9 +115,9 @@
             if conn.reason.startswith("no connection:"):
                 self.failed(work, choice, conn.reason, sure=True)
             return conn
-        self._balancer.sent(instance, work.call)
+        self._balancer.record_sent(instance, work.call)
         if work.service.engine is None:
-            self._waiting.sent(
+            self._waiting.add(
                 work.call.attempt,
                 instance.id,
                 self._speeds.plain_ms(work.route.name),
@@ -135,7 +135,7 @@
             try:
                 head = await self._head(work, conn)
             finally:
-                self._waiting.ended(work.call.attempt)
+                self._waiting.remove(work.call.attempt)
         except BaseException:
             self.end(choice, conn)
             raise
@@ -155,7 +155,7 @@
         """Ends an exchange; one that is not over is cut off."""
         conn.finish(asyncio.get_running_loop().time())
         self._pool.give_back(choice.instance.address, conn)
-        self._balancer.ended(choice.instance)
+        self._balancer.record_ended(choice.instance)
 
     async def drain(self, conn: ServerConnection) -> None:
         """Reads the rest of a short answer, so that the connection stays."""
@@ -165,14 +165,14 @@
     def succeeded(self, work: Work, choice: Choice) -> None:
         """Notes a whole answer, and learns its server's speed from it."""
         instance = choice.instance
-        self._balancer.succeeded(instance)
+        self._balancer.record_success(instance)
         if work.service.engine is None:
-            self._speeds.answered(work.route.name, work.times.head_ms)
+            self._speeds.record_plain_call(work.route.name, work.times.head_ms)
             return
         sample = work.times.streamed(work.call, choice)
         if sample is not None:
             now_ms = self._clock.now_ms()
-            self._speeds.streamed(
+            self._speeds.record_stream(
                 instance.service,
                 instance.id,
                 instance.started_ms,
@@ -207,7 +207,7 @@
         """Notes that a server failed; one that fails often gets nothing."""
         work.failed.append(choice.instance.id)
         now = self._clock.now_ms()
-        if self._balancer.failed(choice.instance, now, sure=sure):
+        if self._balancer.record_failure(choice.instance, now, immediate=sure):
             self._pool.retire(choice.instance.address)
             decisions.note(
                 "ejected", "", server=choice.instance.id, reason=reason
--- a/catkinpin/adapters/gateway/process.py
+++ b/catkinpin/adapters/gateway/process.py
@@ -23,7 +23,10 @@
 from catkinpin.core.control import protocol
 from catkinpin.core.placement.balance import Balancer
 from catkinpin.core.placement.speeds import Speeds
-from catkinpin.core.placement.unresponsive import WaitingCalls, leave_out
+from catkinpin.core.placement.unresponsive import (
+    PendingCalls,
+    eject_unresponsive,
+)
 
 if TYPE_CHECKING:
     from catkinpin.adapters.gateway.headers import HeaderCodec
@@ -78,7 +81,7 @@
             cfg.cache_bytes,
             cfg.copies,
         )
-        self._waiting = WaitingCalls()
+        self._waiting = PendingCalls()
         self._usage = self._new_usage()
         self._serving = Serving(
             Parts(
@@ -108,7 +111,7 @@
             self.keepers,
             self.clock,
             self._count_gateways,
-            lambda: self._waiting.unresponsive(self.clock.now_ms()),
+            lambda: self._waiting.overdue_servers(self.clock.now_ms()),
         )
 
     async def start(self) -> None:
@@ -178,7 +181,7 @@
         fleet = self.view.fleet
         known = [fleet.servers[s] for s in servers if s in fleet.servers]
         for service in {instance.service for instance in known}:
-            leave_out(
+            eject_unresponsive(
                 self._balancer,
                 servers,
                 fleet.of(service),
--- a/catkinpin/adapters/gateway/serving.py
+++ b/catkinpin/adapters/gateway/serving.py
@@ -165,7 +165,7 @@
         """Returns whether this gateway may end before the request does."""
         if self.ends_s is None:
             return False
-        likely_ms = self._speeds.likely_ms(service.name, route.name, call)
+        likely_ms = self._speeds.expected_ms(service.name, route.name, call)
         need_s = max(_ENDING_S, _STOPPING_FACTOR * likely_ms / _MS)
         return asyncio.get_running_loop().time() + need_s > self.ends_s
 
--- a/catkinpin/adapters/gateway/streaming.py
+++ b/catkinpin/adapters/gateway/streaming.py
@@ -103,7 +103,7 @@
         if not isinstance(began, Started):
             self._deny(work, began)
             return
-        work.urgency = urgency.of_turn(began.program_status)
+        work.urgency = urgency.turn_urgency(began.program_status)
         work.program_status = began.program_status
         work.placed = began.placed
         self._remember_cache(work, began.server)
@@ -164,7 +164,7 @@
         """
         instance = self._view.fleet.servers.get(server)
         if instance is not None:
-            self._balancer.read(instance, work.call.prompt[:-1])
+            self._balancer.record_prompt(instance, work.call.prompt[:-1])
 
     async def _stream(self, work: Work, history: bytes) -> bool:
         """Streams an answer; returns whether its turn is settled."""
@@ -236,7 +236,7 @@
         while True:
             data = await _next_chunk(work, conn)
             if data is None:
-                if not reader.is_between:
+                if not reader.is_at_boundary:
                     work.reason = "the stream ended within an event"
                     return _End.BROKEN
                 self._exchange.succeeded(work, choice)
@@ -275,7 +275,7 @@
 
     def _turn_result(self, work: Work) -> TurnResult:
         """Returns what a turn came to."""
-        speed = self._speeds.engine(work.service.name)
+        speed = self._speeds.engine_speed(work.service.name)
         lost_ms = urgency.lost_ms(work.call, work.tokens, work.took_ms, speed)
         report = TurnReport(failed=work.failed, speed=speed)
         return TurnResult(work.tokens, work.ran_on, lost_ms, report)
--- a/catkinpin/adapters/gateway/timings.py
+++ b/catkinpin/adapters/gateway/timings.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from catkinpin.core.placement.speeds import Streamed
+from catkinpin.core.placement.speeds import StreamTimings
 
 if TYPE_CHECKING:
     from catkinpin.core.placement.balance import Choice
@@ -52,7 +52,7 @@
         """From sending the request to the head of its answer."""
         return (self.head_s - self.sent_s) * _MS
 
-    def streamed(self, call: RouteCall, choice: Choice) -> Streamed | None:
+    def streamed(self, call: RouteCall, choice: Choice) -> StreamTimings | None:
         """Returns a sample of the server's speed from a whole stream, if any.
 
         What a server had to read is known well only where all but the newest
@@ -64,10 +64,10 @@
         wanted = sum(part.tokens for part in call.prompt)
         new = call.prompt[-1].tokens if call.prompt else 0
         is_known = bool(new) and choice.cached_tokens == wanted - new
-        return Streamed(
+        return StreamTimings(
             read_tokens=new if is_known else None,
             first_ms=(self.first_s - self.sent_s) * _MS,
             gaps_ms=self.gaps_ms,
-            beside=max(0, self.load.running - 1),
+            concurrent=max(0, self.load.running - 1),
             waiting=self.load.waiting,
         )
--- a/catkinpin/adapters/gateway/work.py
+++ b/catkinpin/adapters/gateway/work.py
@@ -8,7 +8,7 @@
 
 from catkinpin.adapters.gateway.timings import Times
 from catkinpin.core.control.routes import RouteKind
-from catkinpin.core.placement.urgency import USUAL, ProgramStatus
+from catkinpin.core.placement.urgency import URGENCY_DEFAULT, ProgramStatus
 from catkinpin.verdicts import Verdict
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
     runs: int = 0
     tokens: int = 0
     reason: str = ""
-    urgency: int = USUAL
+    urgency: int = URGENCY_DEFAULT
     program_status: ProgramStatus = dataclasses.field(
         default_factory=ProgramStatus
     )
--- a/catkinpin/adapters/keeper/turns.py
+++ b/catkinpin/adapters/keeper/turns.py
@@ -72,13 +72,13 @@
         """Settles a turn."""
         finish = structs.replace(message.finish, at_ms=self._host.log_ms())
         now_ms = self._clock.now_ms()
-        self._placer.settle(finish.attempt, message.report, now_ms)
+        self._placer.finish(finish.attempt, message.report, now_ms)
         out = await self._host.propose(finish, self._commit_s)
         return out if isinstance(out, NotLeading) else None
 
     def unresponsive(self, gateways: int) -> list[str]:
         """Returns plain servers that several gateways find unresponsive."""
-        return self._unresponsive.known(gateways, self._clock.now_ms())
+        return self._unresponsive.confirmed(gateways, self._clock.now_ms())
 
     def report_use(
         self, message: protocol.ReportUse, gateway: str
--- a/catkinpin/adapters/replica/controlhost.py
+++ b/catkinpin/adapters/replica/controlhost.py
@@ -166,7 +166,7 @@
             revision_of=self.state.revision_of,
             servers=sorted(reports, key=lambda report: report.server),
             usage=usage.usage_of(programs, cfg),
-            silent=frozenset(view.silent(now)),
+            silent=frozenset(view.silent_servers(now)),
         )
 
 
--- a/catkinpin/adapters/replica/process.py
+++ b/catkinpin/adapters/replica/process.py
@@ -189,7 +189,7 @@
             case messages.Reports():
                 self._take_reports(message)
             case messages.CacheEvents():
-                self.view.cache_events(message)
+                self.view.apply_cache_events(message)
             case _ if isinstance(message, changes.FromProcess):
                 self.control.handle(stream, message)
             case messages.ReleaseDone():
@@ -228,7 +228,7 @@
     def _take_reports(self, reports: messages.Reports) -> None:
         now = self.clock.now_ms()
         for report, age_ms in zip(reports.reports, reports.age_ms, strict=True):
-            self.view.report(report, now - age_ms)
+            self.view.apply_report(report, now - age_ms)
             for host in self.shards.values():
                 host.reported(report, now - age_ms)
         self.control.reported(reports.reports)
--- a/catkinpin/adapters/replica/shardhost.py
+++ b/catkinpin/adapters/replica/shardhost.py
@@ -71,13 +71,13 @@
 
     def _new_leader(self) -> leader.ShardLeader:
         self.decisions = explanations.Decisions()
-        prices = candidates.Prices()
+        prices = candidates.CostModel()
         share = self._replica.led_share
         self.scheduler = scheduler.Scheduler(
             self._replica.view,
             candidates.by_cost(prices, share, self.decisions.note),
-            scheduler.WaitPlan(),
-            candidates.keeps_home(prices, share),
+            scheduler.QueueOptions(),
+            candidates.home_is_cheapest(prices, share),
         )
         rng = random.Random()
         return leader.ShardLeader(
@@ -156,7 +156,7 @@
     def leadership(self, leading: bool) -> None:
         """Takes up or lays down the leader's part."""
         self._leading = leading
-        self.scheduler.stop()
+        self.scheduler.release_all()
         if not leading:
             return
         self.leader = self._new_leader()
--- a/catkinpin/core/placement/assignment.py
+++ b/catkinpin/core/placement/assignment.py
@@ -24,7 +24,7 @@
         Usage,
     )
     from catkinpin.core.operations.deployments import Configuration, Deployment
-    from catkinpin.core.placement.ejection import Outliers
+    from catkinpin.core.placement.ejection import OutlierDetector
     from catkinpin.core.placement.jobs import Decision, Job
     from catkinpin.core.placement.scheduler import Scheduler
     from catkinpin.core.placement.servers import Server
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Later:
+class Deferred:
     """The call must be placed again after a while."""
 
     key: CallKey
@@ -65,11 +65,11 @@
     retry_after_ms: int
 
 
-Outcome = Placed | Later | Rejected
+Outcome = Placed | Deferred | Rejected
 
 
 @dataclasses.dataclass(frozen=True)
-class Submitted:
+class Submission:
     """What came of a new call.
 
     Attributes:
@@ -77,8 +77,8 @@
         others: decisions about other calls.
     """
 
-    own: list[Outcome]
-    others: list[Decision]
+    own_outcomes: list[Outcome]
+    other_decisions: list[Decision]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -90,7 +90,7 @@
     suspect: bool
 
 
-class Placing:
+class CallAssigner:
     """Submits calls, keeping suspects apart and outliers out.
 
     Args:
@@ -104,7 +104,7 @@
         self,
         state: Shard,
         jobs: Scheduler,
-        outliers: Outliers,
+        outliers: OutlierDetector,
         cfg_of: Callable[[], Configuration],
     ) -> None:
         self._shard = state
@@ -123,17 +123,17 @@
         self._forgiven: set[CallKey] = set()
         self._now_ms = 0
 
-    def submit_new(self, begin: Begin, now_ms: int) -> Submitted:
+    def submit_new(self, begin: Begin, now_ms: int) -> Submission:
         """Submits a call that is not in the log yet."""
         job = self._job(begin, None, None, now_ms + begin.deadline_ms, now_ms)
         decisions = self._scheduler.submit(job, now_ms)
         own = [one for one in decisions if one.key == begin.key]
         others = [one for one in decisions if one.key != begin.key]
-        outcomes = self.outcomes(own, now_ms)
+        outcomes = self.resolve(own, now_ms)
         if any(isinstance(outcome, Rejected) for outcome in outcomes):
             self._jobs.pop(begin.key, None)
             self._begins.pop(begin.key, None)
-        return Submitted(outcomes, others)
+        return Submission(outcomes, others)
 
     def submit(
         self, program: Program, call: Call, now_ms: int, wall_ms: int
@@ -143,7 +143,7 @@
         job = self._job(call.begin, program, call, deadline, now_ms)
         return self._scheduler.submit(job, now_ms)
 
-    def outcomes(self, decisions: list[Decision], now_ms: int) -> list[Outcome]:
+    def resolve(self, decisions: list[Decision], now_ms: int) -> list[Outcome]:
         """Judges decisions; a call that could be placed otherwise gets that."""
         found: list[Outcome] = []
         waiting = list(decisions)
@@ -153,11 +153,13 @@
             if isinstance(decision, jobs.Place):
                 server = decision.server.report.server
                 if job is not None and self._must_wait(job, server):
-                    waiting += self.ended(decision.key, now_ms)
-                    found.append(Later(decision.key, _APART_WAIT_MS))
+                    waiting += self.end_call(decision.key, now_ms)
+                    found.append(Deferred(decision.key, _APART_WAIT_MS))
                     continue
                 if job is not None:
-                    assigned = _Assigned(server, job.content, job.suspect)
+                    assigned = _Assigned(
+                        server, job.content_digest, job.suspect
+                    )
                     self._add(decision.key, assigned)
                 found.append(Placed(decision.key, decision.server))
             elif (
@@ -169,12 +171,12 @@
                 waiting += again
                 if not again and job.suspect:
                     self._forgiven.discard(decision.key)
-                    found.append(Later(decision.key, _APART_WAIT_MS))
+                    found.append(Deferred(decision.key, _APART_WAIT_MS))
             else:
                 found.append(_rejected(decision))
         return found
 
-    def ended(
+    def end_call(
         self, key: CallKey, now_ms: int, usage: Usage | None = None
     ) -> list[Decision]:
         """Notes that a call holds no server any more."""
@@ -189,13 +191,13 @@
             self._contents[assigned.content] -= 1
             if not self._contents[assigned.content]:
                 del self._contents[assigned.content]
-        return self._scheduler.ended(key, now_ms, usage)
+        return self._scheduler.end_call(key, now_ms, usage)
 
-    def program_over(self, key: ProgramKey) -> None:
+    def end_program(self, key: ProgramKey) -> None:
         """Notes that a program makes no more calls."""
-        self._scheduler.program_ended(key)
+        self._scheduler.end_program(key)
 
-    def answered(self, key: CallKey) -> None:
+    def record_answer(self, key: CallKey) -> None:
         """Notes that a server survived the call's content."""
         assigned = self._assigned.get(key)
         if assigned is None or not assigned.content:
@@ -205,12 +207,12 @@
         if len(self._known_good) > _KNOWN_GOOD:
             del self._known_good[next(iter(self._known_good))]
 
-    def resume(self, call: Call, attempt: Attempt) -> None:
+    def restore_call(self, call: Call, attempt: Attempt) -> None:
         """Notes an attempt that an earlier leader granted."""
         server = attempt.choice.server.server
         suspect = self._shard.quarantine.is_suspect(call.content)
         self._add(call.key, _Assigned(server, call.content, suspect))
-        self._scheduler.resume(call.key, server)
+        self._scheduler.restore_call(call.key, server)
 
     def _add(self, key: CallKey, assigned: _Assigned) -> None:
         self._assigned[key] = assigned
@@ -227,13 +229,13 @@
         """
         self._forgiven.add(job.key)
         without = tuple(self._suspect_servers()) if job.suspect else ()
-        if job.suspect and set(job.without) <= set(without):
+        if job.suspect and set(job.excluded_servers) <= set(without):
             return []
         name = self._name_of(self._begins[job.key])
         job = dataclasses.replace(
             job,
-            without=without,
-            allowed=lambda report: self._allowed(name, report),
+            excluded_servers=without,
+            is_allowed=lambda report: self._allowed(name, report),
         )
         self._jobs[job.key] = job
         return self._scheduler.submit(job, now_ms)
@@ -246,9 +248,11 @@
         not wait, would crash them all before the first crash is known; only
         what was answered before may run more often at a time.
         """
-        running = self._contents[job.content] if job.content else 0
+        running = (
+            self._contents[job.content_digest] if job.content_digest else 0
+        )
         if not job.suspect:
-            limited = job.content not in self._known_good
+            limited = job.content_digest not in self._known_good
             return limited and running >= CRASHES_ALLOWED
         apart = server not in self._suspect_servers()
         return running > 0 or not apart
@@ -315,7 +319,7 @@
         name = deployment.name if deployment is not None else ""
         content = self._shard.content_of(begin)
         suspect = self._shard.quarantine.is_suspect(content)
-        without = set(self._outliers.ejected(now_ms))
+        without = set(self._outliers.ejected_servers(now_ms))
         without.update(call.failed_servers if call is not None else ())
         without.update(self._suspect_servers() if suspect else ())
         history = program.history_tokens if program is not None else 0
@@ -338,10 +342,10 @@
             interactive=deployment.interactive if deployment else False,
             parent=parent,
             shared_tokens=self._shared_tokens(begin, parent),
-            without=tuple(sorted(without)),
+            excluded_servers=tuple(sorted(without)),
             suspect=suspect,
-            content=content,
-            allowed=lambda report: self._healthy(name, report),
+            content_digest=content,
+            is_allowed=lambda report: self._healthy(name, report),
         )
         self._jobs[begin.key] = job
         self._begins[begin.key] = begin
@@ -354,7 +358,7 @@
     )
 
 
-def limits_of(deployment: Deployment) -> ProgramLimits:
+def program_limits(deployment: Deployment) -> ProgramLimits:
     """Returns the limits of a program of a deployment."""
     default = ProgramLimits(budget_tokens=deployment.budget_tokens)
     age_ms = deployment.budget_seconds * _MS_PER_S
@@ -367,7 +371,7 @@
     )
 
 
-def scopes_of(cfg: Configuration, begin: Begin) -> list[limits.Scope]:
+def limit_scopes(cfg: Configuration, begin: Begin) -> list[limits.Scope]:
     """Returns what a call counts for, with the limits of each."""
     key = begin.key
     tree = f"{key.account}/{sharding.root_of(key.program)}"
@@ -383,7 +387,7 @@
     return scopes
 
 
-def choice_of(
+def logged_choice(
     placed: Placed, entry: EntryRef, entries: list[EntryRef], priority: int
 ) -> Choice:
     """Returns a placement as it goes into the log.
--- a/catkinpin/core/placement/balance.py
+++ b/catkinpin/core/placement/balance.py
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass
-class Server:
+class TrackedServer:
     """What is known of one incarnation of a server.
 
     Attributes:
@@ -83,11 +83,11 @@
 
     id: str
     started_ms: int
-    sent: int = 0
-    since: int = 0
+    in_flight: int = 0
+    sent_since_report: int = 0
     load: Load | None = None
-    load_at_ms: int = 0
-    parts: collections.OrderedDict[str, None] = dataclasses.field(
+    load_reported_ms: int = 0
+    prompt_parts: collections.OrderedDict[str, None] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
     failures: int = 0
@@ -117,7 +117,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Work:
+class WorkEstimate:
     """What a request takes at one server, in ms.
 
     Attributes:
@@ -126,13 +126,13 @@
         beside: what each request beside it adds to that, and it to theirs.
     """
 
-    read: float
-    alone: float
-    beside: float
+    prefill_ms: float
+    idle_ms: float
+    per_concurrent_ms: float
 
-    def among(self, running: int) -> float:
+    def run_ms(self, running: int) -> float:
         """Returns how long the rest takes beside others."""
-        return self.alone + self.beside * running
+        return self.idle_ms + self.per_concurrent_ms * running
 
 
 class Balancer:
@@ -143,7 +143,7 @@
         regions: region of each failure domain.
         rng: draws near ties.
         speeds: of the servers, as far as known here.
-        region_ms: weight of a server in another region.
+        region_cost_ms: weight of a server in another region.
     """
 
     def __init__(
@@ -152,14 +152,14 @@
         regions: dict[str, str],
         rng: random.Random,
         speeds: Speeds,
-        region_ms: float = _REGION_MS,
+        region_cost_ms: float = _REGION_MS,
     ) -> None:
         self._domain = domain
         self._regions = regions
         self._rng = rng
         self._speeds = speeds
-        self._region_ms = region_ms
-        self._servers: dict[str, Server] = {}
+        self._region_cost_ms = region_cost_ms
+        self._servers: dict[str, TrackedServer] = {}
         self._affinity: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
@@ -183,7 +183,7 @@
             route: its name; plain calls of one take about the same time.
             domain: failure domain that the request comes from; empty: ours.
         """
-        listed = shortlist(servers, call.prompt, self._held, self._rng)
+        listed = shortlist(servers, call.prompt, self._cached_parts, self._rng)
         ready = [
             one
             for one in listed
@@ -195,7 +195,8 @@
         usual = self._usual_load(fit, now_ms)
         origin = domain or self._domain
         found = [
-            self._weigh(one, call, route, now_ms, usual, origin) for one in fit
+            self._estimate(one, call, route, now_ms, usual, origin)
+            for one in fit
         ]
         if not found:
             return None
@@ -203,40 +204,42 @@
         near = [c for c in found if c.cost_ms <= least + _TIE_MS]
         return self._rng.choice(near)
 
-    def weigh(
+    def estimate(
         self, instance: Instance, call: RouteCall, now_ms: int
     ) -> Choice | None:
         """Returns a choice that was made elsewhere; None if it is ejected."""
         if self._is_ejected(instance, now_ms):
             return None
         usual = self._usual_load([instance], now_ms)
-        return self._weigh(instance, call, "", now_ms, usual, self._domain)
+        return self._estimate(instance, call, "", now_ms, usual, self._domain)
 
-    def sent(self, instance: Instance, call: RouteCall) -> None:
+    def record_sent(self, instance: Instance, call: RouteCall) -> None:
         """Notes that a request goes to a server."""
-        server = self._of(instance)
-        server.sent += 1
-        server.since += 1
-        self.read(instance, call.prompt)
+        server = self._tracked(instance)
+        server.in_flight += 1
+        server.sent_since_report += 1
+        self.record_prompt(instance, call.prompt)
         if call.affinity:
             self._affinity[call.affinity] = instance.id
             self._affinity.move_to_end(call.affinity)
             while len(self._affinity) > _MAX_PARTS:
                 self._affinity.popitem(last=False)
 
-    def read(self, instance: Instance, prompt: Iterable[PromptPart]) -> None:
+    def record_prompt(
+        self, instance: Instance, prompt: Iterable[PromptPart]
+    ) -> None:
         """Notes the prompt parts that a server holds from now on."""
-        parts = self._of(instance).parts
+        parts = self._tracked(instance).prompt_parts
         for part in prompt:
             parts[part.id] = None
             parts.move_to_end(part.id)
         while len(parts) > _MAX_PARTS:
             parts.popitem(last=False)
 
-    def ended(self, instance: Instance) -> None:
+    def record_ended(self, instance: Instance) -> None:
         """Notes that a request is no longer under way."""
-        server = self._of(instance)
-        server.sent = max(0, server.sent - 1)
+        server = self._tracked(instance)
+        server.in_flight = max(0, server.in_flight - 1)
 
     def report_load(self, instance: Instance, load: Load, now_ms: int) -> bool:
         """Records the load that a server reported with an answer.
@@ -246,46 +249,48 @@
         """
         if not _is_plausible(load):
             return False
-        server = self._of(instance)
+        server = self._tracked(instance)
         server.load = load
-        server.load_at_ms = now_ms
-        server.since = 0
+        server.load_reported_ms = now_ms
+        server.sent_since_report = 0
         return True
 
-    def succeeded(self, instance: Instance) -> None:
+    def record_success(self, instance: Instance) -> None:
         """Notes an answer."""
-        server = self._of(instance)
+        server = self._tracked(instance)
         server.failures = 0
         server.ejections = 0
 
-    def failed(self, instance: Instance, now_ms: int, *, sure: bool) -> bool:
+    def record_failure(
+        self, instance: Instance, now_ms: int, *, immediate: bool
+    ) -> bool:
         """Notes a failure; returns whether the server is ejected by it.
 
         Args:
             instance: the server.
             now_ms: monotonic time.
-            sure: whether the server can't be reached at all.
+            immediate: whether the server can't be reached at all.
         """
-        server = self._of(instance)
+        server = self._tracked(instance)
         if now_ms - server.failed_at_ms > _FAILURE_WINDOW_MS:
             server.failures = 0
         server.failed_at_ms = now_ms
         server.failures += 1
-        if not sure and server.failures < _FAILURES:
+        if not immediate and server.failures < _FAILURES:
             return False
         wait = min(_MAX_EJECT_MS, _EJECT_MS << min(server.ejections, 5))
         server.ejections += 1
         server.ejected_until_ms = now_ms + wait
-        server.parts.clear()
+        server.prompt_parts.clear()
         return True
 
-    def avoid(self, server: str, until_ms: int) -> None:
+    def eject_until(self, server: str, until_ms: int) -> None:
         """Leaves a server out for a while, without a failure of ours."""
         known = self._servers.get(server)
         if known is not None:
             known.ejected_until_ms = max(known.ejected_until_ms, until_ms)
 
-    def left_out(
+    def ejected_servers(
         self, servers: Iterable[Instance], now_ms: int
     ) -> frozenset[str]:
         """Returns which servers get nothing now."""
@@ -297,27 +302,27 @@
         self._servers.pop(server, None)
         self._speeds.forget(server)
 
-    def taken(self, instance: Instance, now_ms: int) -> float:
+    def used_slot_share(self, instance: Instance, now_ms: int) -> float:
         """Returns the part of a server's slots that seems taken."""
-        server = self._of(instance)
+        server = self._tracked(instance)
         slots = self._slots(instance, server)
-        return self._running(server, now_ms) / slots
+        return self._running_estimate(server, now_ms) / slots
 
     def is_busy(self, instance: Instance, now_ms: int) -> bool:
         """Returns whether one more request would make others late."""
-        return self.taken(instance, now_ms) >= _BUSY_SHARE
+        return self.used_slot_share(instance, now_ms) >= _BUSY_SHARE
 
     def _is_ejected(self, instance: Instance, now_ms: int) -> bool:
-        return self._of(instance).ejected_until_ms > now_ms
+        return self._tracked(instance).ejected_until_ms > now_ms
 
-    def _of(self, instance: Instance) -> Server:
+    def _tracked(self, instance: Instance) -> TrackedServer:
         server = self._servers.get(instance.id)
         if server is None or server.started_ms != instance.started_ms:
-            server = Server(instance.id, instance.started_ms)
+            server = TrackedServer(instance.id, instance.started_ms)
             self._servers[instance.id] = server
         return server
 
-    def _weigh(
+    def _estimate(
         self,
         instance: Instance,
         call: RouteCall,
@@ -326,37 +331,39 @@
         usual: float,
         origin: str,
     ) -> Choice:
-        server = self._of(instance)
-        cached = cached_tokens(server.parts, call.prompt)
+        server = self._tracked(instance)
+        cached = cached_tokens(server.prompt_parts, call.prompt)
         speed = self._speed(instance, call, now_ms)
         work = self._work(call, route, cached, speed)
         slots = self._slots(instance, server)
-        running = self._running(server, now_ms)
+        running = self._running_estimate(server, now_ms)
         if not self._is_fresh(server, now_ms):
             part = usual if server.load is not None else usual * _UNKNOWN_SHARE
             running = max(running, round(part * slots))
         beside = min(running, slots - 1)
         queued = max(0, running + 1 - slots)
-        wait = queued * work.among(slots) / slots
+        wait = queued * work.run_ms(slots) / slots
         own = (
             wait
-            + work.read
-            + work.among(beside)
+            + work.prefill_ms
+            + work.run_ms(beside)
             + self._delay_ms(instance, origin)
         )
-        cost = own + self._others_ms(work, beside, queued, slots)
+        cost = own + self._cost_to_others_ms(work, beside, queued, slots)
         if call.affinity and self._affinity.get(call.affinity) == instance.id:
             cost -= self._speeds.plain_ms(route) * _AFFINITY_SHARE
-        age = now_ms - server.load_at_ms if server.load is not None else -1
+        age = (
+            now_ms - server.load_reported_ms if server.load is not None else -1
+        )
         return Choice(instance, cost, cached, age, running, speed)
 
-    def _others_ms(
-        self, work: Work, beside: int, queued: int, slots: int
+    def _cost_to_others_ms(
+        self, work: WorkEstimate, beside: int, queued: int, slots: int
     ) -> float:
         """Returns what a request costs those that run and wait there."""
-        waiting = queued * (work.read + work.among(beside)) / slots
-        reading = work.read * _READING_WEIGHT
-        return beside * (reading + work.beside) + waiting
+        waiting = queued * (work.prefill_ms + work.run_ms(beside)) / slots
+        reading = work.prefill_ms * _READING_WEIGHT
+        return beside * (reading + work.per_concurrent_ms) + waiting
 
     def _speed(
         self, instance: Instance, call: RouteCall, now_ms: int
@@ -364,8 +371,8 @@
         """Returns how fast a model server is, None for a plain service."""
         if not call.max_tokens:
             return None
-        usual = self._speeds.engine(instance.service)
-        return usual.times(self._speeds.factor(instance.id, now_ms))
+        usual = self._speeds.engine_speed(instance.service)
+        return usual.scaled(self._speeds.slowdown(instance.id, now_ms))
 
     def _work(
         self,
@@ -373,14 +380,14 @@
         route: str,
         cached: int,
         speed: EngineSpeed | None,
-    ) -> Work:
+    ) -> WorkEstimate:
         """Returns what a request takes at a server."""
         if speed is None:
             plain_ms = self._speeds.plain_ms(route)
-            return Work(0.0, plain_ms, speeds.plain_beside_ms(plain_ms))
+            return WorkEstimate(0.0, plain_ms, speeds.plain_beside_ms(plain_ms))
         wanted = sum(part.tokens for part in call.prompt)
         tokens = call.max_tokens * _EXPECTED_TOKENS_SHARE
-        return Work(
+        return WorkEstimate(
             (wanted - cached) * speed.read_ms,
             tokens * speed.token_ms,
             tokens * speed.beside_ms,
@@ -389,31 +396,31 @@
     def _usual_load(self, servers: list[Instance], now_ms: int) -> float:
         """Returns the mean part of slots taken, where it is known."""
         known = [
-            self.taken(one, now_ms)
+            self.used_slot_share(one, now_ms)
             for one in servers
-            if self._is_fresh(self._of(one), now_ms)
+            if self._is_fresh(self._tracked(one), now_ms)
         ]
         return sum(known) / len(known) if known else 0.0
 
-    def _running(self, server: Server, now_ms: int) -> int:
+    def _running_estimate(self, server: TrackedServer, now_ms: int) -> int:
         load = server.load
         if load is None or not self._is_fresh(server, now_ms):
-            return server.sent
-        report_load = load.running + load.waiting + server.since
-        return max(server.sent, report_load)
+            return server.in_flight
+        report_load = load.running + load.waiting + server.sent_since_report
+        return max(server.in_flight, report_load)
 
-    def _is_fresh(self, server: Server, now_ms: int) -> bool:
+    def _is_fresh(self, server: TrackedServer, now_ms: int) -> bool:
         """Returns whether a server's load report is recent enough."""
         return server.load is not None and (
-            now_ms - server.load_at_ms <= _LOAD_OLD_MS
+            now_ms - server.load_reported_ms <= _LOAD_OLD_MS
         )
 
-    def _held(self, server: str) -> Container[str]:
+    def _cached_parts(self, server: str) -> Container[str]:
         """Returns the prompt parts that a server seems to hold."""
         known = self._servers.get(server)
-        return known.parts if known is not None else ()
+        return known.prompt_parts if known is not None else ()
 
-    def _slots(self, instance: Instance, server: Server) -> int:
+    def _slots(self, instance: Instance, server: TrackedServer) -> int:
         slots = server.load.slots if server.load else instance.slots
         return max(slots, 1)
 
@@ -423,7 +430,7 @@
         ours = self._regions.get(origin, "")
         if self._regions.get(instance.domain, "") == ours:
             return _DOMAIN_MS
-        return self._region_ms
+        return self._region_cost_ms
 
 
 def _is_plausible(load: Load) -> bool:
--- a/catkinpin/core/placement/candidates.py
+++ b/catkinpin/core/placement/candidates.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Prices:
+class CostModel:
     """What a choice assumes of engines and links; all times in milliseconds.
 
     Attributes:
@@ -41,16 +41,16 @@
         min_hold_ms: no shorter pause costs a program its room.
     """
 
-    prefill_per_ms: float = 10.0
-    recompute: float = 4.0
+    prefill_tokens_per_ms: float = 10.0
+    recompute_weight: float = 4.0
     gap_per_call_ms: float = 0.35
-    output_tokens: int = 150
-    region_ms: float = 16.0
+    expected_output_tokens: int = 150
+    region_delay_ms: float = 16.0
     link_bytes_per_ms: float = 1_875.0
-    text_bytes: float = 1.6
-    fill: float = 0.9
-    memory_ms: float = 1_000.0
-    hold_ms: int = 30_000
+    bytes_per_token: float = 1.6
+    max_active_share: float = 0.9
+    full_cache_ms: float = 1_000.0
+    max_hold_ms: int = 30_000
     min_hold_ms: int = 2_000
 
 
@@ -66,25 +66,25 @@
     """
 
     server: Server
-    wait: float
-    prefill: float
-    transfer: float
+    wait_ms: float
+    prefill_ms: float
+    transfer_ms: float
     fits: bool
 
     @property
-    def total(self) -> float:
+    def total_ms(self) -> float:
         """All together."""
-        return self.wait + self.prefill + self.transfer
+        return self.wait_ms + self.prefill_ms + self.transfer_ms
 
 
-Note = Callable[["Job", list[Cost], "Server | None", int], None]
+CostObserver = Callable[["Job", list[Cost], "Server | None", int], None]
 
 
-def costs(
+def server_costs(
     job: Job,
     servers: list[Server],
     now_ms: int,
-    prices: Prices,
+    prices: CostModel,
     share: float = 1.0,
 ) -> list[Cost]:
     """Returns what each server would cost, the cheapest first.
@@ -99,36 +99,36 @@
     """
     found = [_cost(job, one, now_ms, prices, share) for one in servers]
     return sorted(
-        found, key=lambda cost: (cost.total, cost.server.report.server)
+        found, key=lambda cost: (cost.total_ms, cost.server.report.server)
     )
 
 
 def by_cost(
-    prices: Prices,
+    prices: CostModel,
     share: Callable[[], float] = lambda: 1.0,
-    note: Note = lambda *_: None,
+    observe: CostObserver = lambda *_: None,
 ) -> Policy:
     """Returns the policy that takes the cheapest server with room.
 
     Args:
         prices: what to assume of engines and links.
-        share: see `costs`.
-        note: called with each decision.
+        share: see `server_costs`.
+        observe: called with each decision.
     """
 
     def choose(job: Job, servers: list[Server], now_ms: int) -> Server | None:
-        few = sample(job, servers, now_ms)
-        found = costs(job, few, now_ms, prices, share())
+        few = sample_servers(job, servers, now_ms)
+        found = server_costs(job, few, now_ms, prices, share())
         fitting = (cost.server for cost in found if cost.fits)
         chosen = next(fitting, None)
-        note(job, found, chosen, now_ms)
+        observe(job, found, chosen, now_ms)
         return chosen
 
     return choose
 
 
-def keeps_home(
-    prices: Prices, share: Callable[[], float] = lambda: 1.0
+def home_is_cheapest(
+    prices: CostModel, share: Callable[[], float] = lambda: 1.0
 ) -> Callable[[Job, Server, int], bool]:
     """Returns a check whether no other server can cost a call less."""
 
@@ -139,14 +139,18 @@
             return False
         cost = _cost(job, home, now_ms, prices, share())
         new = job.prompt_tokens - job.history_tokens
-        history = own_tokens(job, home) - new
-        elsewhere = (new + prices.recompute * history) / prices.prefill_per_ms
-        return cost.fits and cost.total <= elsewhere
+        history = unshared_tokens(job, home) - new
+        elsewhere = (
+            new + prices.recompute_weight * history
+        ) / prices.prefill_tokens_per_ms
+        return cost.fits and cost.total_ms <= elsewhere
 
     return check
 
 
-def sample(job: Job, servers: list[Server], now_ms: int) -> list[Server]:
+def sample_servers(
+    job: Job, servers: list[Server], now_ms: int
+) -> list[Server]:
     """Returns some of many servers, others at other times.
 
     Among many, the best of a few dozen is nearly as good as the best of all.
@@ -159,13 +163,13 @@
     return chosen + servers[: _MAX_CANDIDATES - len(chosen)]
 
 
-def missing_tokens(job: Job, server: Server) -> int:
+def uncached_tokens(job: Job, server: Server) -> int:
     """Returns the tokens of the prompt that a server would have to compute."""
     held = server.residents.cached_tokens(job.key.program_key)
-    return max(0, own_tokens(job, server) - held)
+    return max(0, unshared_tokens(job, server) - held)
 
 
-def own_tokens(job: Job, server: Server) -> int:
+def unshared_tokens(job: Job, server: Server) -> int:
     """Returns the memory that the call's context needs on a server.
 
     What other programs there share with it needs no memory of its own.
@@ -178,7 +182,7 @@
 
 
 def _cost(
-    job: Job, server: Server, now_ms: int, prices: Prices, share: float
+    job: Job, server: Server, now_ms: int, prices: CostModel, share: float
 ) -> Cost:
     report = server.report
     slots = max(1, report.capacity)
@@ -187,8 +191,8 @@
         size = job.prompt_tokens - job.history_tokens
         if report.server != job.last_server:
             size = job.prompt_tokens
-        transfer = prices.region_ms
-        transfer += size * prices.text_bytes / prices.link_bytes_per_ms
+        transfer = prices.region_delay_ms
+        transfer += size * prices.bytes_per_token / prices.link_bytes_per_ms
     if report.kind != "model":
         wait = 1_000.0 * server.load / slots
         return Cost(server, wait, 0.0, transfer, server.load < slots)
@@ -197,22 +201,24 @@
     # engine idle while others wait for it: the idler it is, the sooner a
     # paused program loses its room.
     busy = min(1.0, _FULL_HOLD * server.load / slots)
-    hold_ms = round(max(prices.min_hold_ms, prices.hold_ms * busy))
-    server.residents.rest(now_ms, hold_ms, round(cache))
-    wait = server.load * prices.gap_per_call_ms * prices.output_tokens
-    missing = missing_tokens(job, server)
+    hold_ms = round(max(prices.min_hold_ms, prices.max_hold_ms * busy))
+    server.residents.expire_idle(now_ms, hold_ms, round(cache))
+    wait = server.load * prices.gap_per_call_ms * prices.expected_output_tokens
+    missing = uncached_tokens(job, server)
     known = max(job.history_tokens, job.shared_tokens if job.parent else 0)
     new = max(0, min(missing, job.prompt_tokens - known))
-    weighed = new + prices.recompute * (missing - new)
-    prefill = weighed / prices.prefill_per_ms
+    weighed = new + prices.recompute_weight * (missing - new)
+    prefill = weighed / prices.prefill_tokens_per_ms
     if not server.residents.is_active(job.key.program_key):
         used = server.residents.active_tokens / max(1.0, cache)
-        wait += prices.memory_ms * used
+        wait += prices.full_cache_ms * used
     fits = server.load < slots and _has_memory(job, server, prices, cache)
     return Cost(server, wait, prefill, transfer, fits)
 
 
-def _has_memory(job: Job, server: Server, prices: Prices, cache: float) -> bool:
+def _has_memory(
+    job: Job, server: Server, prices: CostModel, cache: float
+) -> bool:
     """Returns whether the context fits beside those of active programs.
 
     Without this limit the active programs of a busy engine evict one another
@@ -221,9 +227,9 @@
     residents = server.residents
     if not cache or residents.is_active(job.key.program_key):
         return True
-    room = prices.fill * cache - residents.active_tokens
+    room = prices.max_active_share * cache - residents.active_tokens
     # A context beyond half the cache could wait for ever for that much room.
-    return min(own_tokens(job, server), cache / 2) <= room
+    return min(unshared_tokens(job, server), cache / 2) <= room
 
 
 def least_outstanding(
--- a/catkinpin/core/placement/ejection.py
+++ b/catkinpin/core/placement/ejection.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     import random
 
-FAILURES_IN_A_ROW = 4
-EJECTED_SHARE = 0.3
+CONSECUTIVE_FAILURES_TO_EJECT = 4
+MAX_EJECTED_SHARE = 0.3
 # Of this many servers one may be ejected, whatever the share.
 _MIN_COUNT = 3
 _EJECT_BASE_MS = 2_000
@@ -35,7 +35,7 @@
     probation: int = 0
 
 
-class Outliers:
+class OutlierDetector:
     """Health of servers by the outcome of their calls."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -43,7 +43,7 @@
         self._servers: dict[str, _Health] = {}
         self._sick: dict[str, _Health] = {}
 
-    def seen(self, server: str, incarnation: str) -> None:
+    def register(self, server: str, incarnation: str) -> None:
         """Notes a server; a new incarnation starts without a record."""
         known = self._servers.get(server)
         if known is None or known.incarnation != incarnation:
@@ -55,7 +55,7 @@
         self._servers.pop(server, None)
         self._sick.pop(server, None)
 
-    def succeeded(self, server: str) -> None:
+    def record_success(self, server: str) -> None:
         """Notes an answer."""
         health = self._servers.get(server)
         if health is None:
@@ -67,14 +67,16 @@
                 health.ejections = 0
                 self._sick.pop(server, None)
 
-    def failed(self, server: str, now_ms: int) -> None:
+    def record_failure(self, server: str, now_ms: int) -> None:
         """Notes a failure that was the server's."""
         health = self._servers.get(server)
         if health is None or health.until_ms > now_ms:
             return
         health.failures += 1
         # On probation one failure is enough: it has not recovered.
-        due = health.failures >= FAILURES_IN_A_ROW or health.probation
+        due = (
+            health.failures >= CONSECUTIVE_FAILURES_TO_EJECT or health.probation
+        )
         if due and self._room(now_ms):
             self._eject(server, health, now_ms)
 
@@ -93,7 +95,7 @@
             return False
         return granted < 1 if health.probation else True
 
-    def ejected(self, now_ms: int) -> list[str]:
+    def ejected_servers(self, now_ms: int) -> list[str]:
         """Returns the servers that are ejected now."""
         return [
             name
@@ -102,10 +104,10 @@
         ]
 
     def _room(self, now_ms: int) -> bool:
-        limit = int(EJECTED_SHARE * len(self._servers))
+        limit = int(MAX_EJECTED_SHARE * len(self._servers))
         if len(self._servers) >= _MIN_COUNT:
             limit = max(1, limit)
-        return len(self.ejected(now_ms)) < limit
+        return len(self.ejected_servers(now_ms)) < limit
 
     def _eject(self, server: str, health: _Health, now_ms: int) -> None:
         self._sick[server] = health
--- a/catkinpin/core/placement/jobs.py
+++ b/catkinpin/core/placement/jobs.py
@@ -55,11 +55,11 @@
     last_server: str = ""
     priority: int = 0
     deadline_ms: int = 0
-    without: tuple[str, ...] = ()
+    excluded_servers: tuple[str, ...] = ()
     suspect: bool = False
-    content: bytes = b""
-    allowed: Callable[[ServerReport], bool] = lambda _: True
-    bound_tokens: int = 0
+    content_digest: bytes = b""
+    is_allowed: Callable[[ServerReport], bool] = lambda _: True
+    prompt_bound_tokens: int = 0
     deployment: str = ""
     interactive: bool = False
     parent: str = ""
--- a/catkinpin/core/placement/limits.py
+++ b/catkinpin/core/placement/limits.py
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Turndown:
+class Denial:
     """Why a call is not admitted, and when coming back helps."""
 
     text: str
@@ -119,18 +119,19 @@
     """Counts open calls and refuses early what would be answered late.
 
     Args:
-        early: whether calls are refused that would miss their deadline.
+        refuses_late_calls: whether to refuse calls that would miss their
+            deadline.
     """
 
-    def __init__(self, *, early: bool = True) -> None:
-        self._early = early
+    def __init__(self, *, refuses_late_calls: bool = True) -> None:
+        self._refuses_late_calls = refuses_late_calls
         self._flows: dict[tuple[str, str], _Flow] = {}
         self._calls: dict[CallKey, list[Scope]] = {}
         self._running: dict[CallKey, int] = {}
 
     def check(
         self, scopes: list[Scope], deadline_ms: int, now_ms: int
-    ) -> Turndown | None:
+    ) -> Denial | None:
         """Returns why a new call is refused now, or None.
 
         Args:
@@ -152,7 +153,7 @@
             for scope in scopes
         )
 
-    def opened(self, key: CallKey, scopes: list[Scope], now_ms: int) -> None:
+    def add_call(self, key: CallKey, scopes: list[Scope], now_ms: int) -> None:
         """Counts a call; one that is counted already changes nothing."""
         if key in self._calls:
             return
@@ -164,23 +165,23 @@
             if rate:
                 flow.left = flow.refill(rate, now_ms) - 1
 
-    def started(self, key: CallKey, now_ms: int) -> None:
+    def mark_running(self, key: CallKey, now_ms: int) -> None:
         """Notes that the call holds a server."""
         if key in self._calls and key not in self._running:
             self._running[key] = now_ms
             for scope in self._calls[key]:
                 self._flow(scope).running += 1
 
-    def stopped(self, key: CallKey) -> None:
+    def mark_stopped(self, key: CallKey) -> None:
         """Notes that the call holds no server."""
         if self._running.pop(key, None) is not None:
             for scope in self._calls[key]:
                 self._flow(scope).running -= 1
 
-    def closed(self, key: CallKey, now_ms: int, *, answered: bool) -> None:
+    def remove_call(self, key: CallKey, now_ms: int, *, answered: bool) -> None:
         """Takes a call off the counts."""
         run_ms = now_ms - self._running.get(key, now_ms)
-        self.stopped(key)
+        self.mark_stopped(key)
         for scope in self._calls.pop(key, []):
             flow = self._flow(scope)
             flow.open -= 1
@@ -194,23 +195,28 @@
 
     def _check_scope(
         self, scope: Scope, deadline_ms: int, now_ms: int
-    ) -> Turndown | None:
+    ) -> Denial | None:
         flow = self._flow(scope)
         wait = flow.expected_wait_ms()
         waiting = flow.open - flow.running
         if scope.limits.queue and waiting >= scope.limits.queue:
             text = f"the {scope.kind} has {waiting} calls waiting, its limit"
-            return Turndown(text, _bounded(wait))
+            return Denial(text, _bounded(wait))
         rate = scope.limits.calls_per_second
         if rate and flow.refill(rate, now_ms) < 1:
             text = f"the {scope.kind} makes more than {rate:g} calls a second"
-            return Turndown(text, _bounded(int(_MS_PER_S / rate)))
+            return Denial(text, _bounded(int(_MS_PER_S / rate)))
         # Admitted, the call would be given up on at its deadline after it has
         # held a place in the queue: its caller is refused, others move up.
         late = int(wait * _MARGIN + flow.run_ms) - deadline_ms
-        if self._early and scope.kind == DEPLOYMENT and wait and late > 0:
+        if (
+            self._refuses_late_calls
+            and scope.kind == DEPLOYMENT
+            and wait
+            and late > 0
+        ):
             text = f"about {wait} ms until its turn, too late for its deadline"
-            return Turndown(text, _bounded(late))
+            return Denial(text, _bounded(late))
         return None
 
 
@@ -238,7 +244,7 @@
         self._share = share
         self._left: dict[str, float] = {}
 
-    def first_attempt(self, deployment: str) -> None:
+    def record_first_attempt(self, deployment: str) -> None:
         """Adds a share of a retry."""
         left = self._left.get(deployment, _RETRIES_AT_FIRST)
         self._left[deployment] = min(_RETRIES_KEPT, left + self._share)
--- a/catkinpin/core/placement/placer.py
+++ b/catkinpin/core/placement/placer.py
@@ -81,13 +81,13 @@
         super().__init__()
         self._reported: dict[str, EngineSpeed] = {}
 
-    def engine(self, service: str) -> EngineSpeed:
+    def engine_speed(self, service: str) -> EngineSpeed:
         """Returns how fast a usual model server of a service is."""
         return self._reported.get(service, EngineSpeed())
 
-    def report(self, service: str, speed: EngineSpeed) -> None:
+    def add_report(self, service: str, speed: EngineSpeed) -> None:
         """Takes in what a gateway has learned."""
-        known = self.engine(service)
+        known = self.engine_speed(service)
         self._reported[service] = EngineSpeed(
             _moved(known.read_ms, speed.read_ms),
             _moved(known.token_ms, speed.token_ms),
@@ -112,19 +112,23 @@
         """Forgets everything; another leader may have placed turns since."""
         self._speeds = ReportedSpeeds()
         self._balancer = Balancer(
-            "", self._regions, self._rng, self._speeds, region_ms=_REGION_MS
+            "",
+            self._regions,
+            self._rng,
+            self._speeds,
+            region_cost_ms=_REGION_MS,
         )
         self._turns: dict[str, _PlacedTurn] = {}
         self._swept_ms = 0
 
     @property
-    def running(self) -> int:
+    def running_turns(self) -> int:
         """How many turns count at servers now."""
         return len(self._turns)
 
-    def speed(self, service: str) -> EngineSpeed:
+    def reported_speed(self, service: str) -> EngineSpeed:
         """Returns how fast a usual server of a service is, as reported."""
-        return self._speeds.engine(service)
+        return self._speeds.engine_speed(service)
 
     def place(
         self,
@@ -151,7 +155,7 @@
         if len(self._turns) >= _MAX_TURNS:
             return ""
         if last_server is not None:
-            self._balancer.read(last_server, turn.prompt[:-1])
+            self._balancer.record_prompt(last_server, turn.prompt[:-1])
         call = RouteCall(
             attempt=attempt,
             prompt=tuple(turn.prompt),
@@ -160,12 +164,12 @@
         choice = self._balancer.pick(servers, call, now_ms, domain=turn.domain)
         if choice is None:
             return ""
-        self._balancer.sent(choice.instance, call)
+        self._balancer.record_sent(choice.instance, call)
         until_ms = now_ms + turn.left_ms + _EXPIRY_SLACK_MS
         self._turns[attempt] = _PlacedTurn(choice.instance, until_ms)
         return choice.instance.id
 
-    def settle(self, attempt: str, report: TurnReport, now_ms: int) -> None:
+    def finish(self, attempt: str, report: TurnReport, now_ms: int) -> None:
         """Takes a turn off its server; one that was never placed is ignored.
 
         Only the server that was named can be reported as failed: a gateway
@@ -175,13 +179,13 @@
         if placed is None:
             return
         instance = placed.instance
-        self._balancer.ended(instance)
+        self._balancer.record_ended(instance)
         if instance.id in report.failed:
-            self._balancer.failed(instance, now_ms, sure=False)
+            self._balancer.record_failure(instance, now_ms, immediate=False)
         else:
-            self._balancer.succeeded(instance)
+            self._balancer.record_success(instance)
         if report.speed is not None and report.speed.is_plausible:
-            self._speeds.report(instance.service, report.speed)
+            self._speeds.add_report(instance.service, report.speed)
 
     def forget(self, server: str) -> None:
         """Forgets a server that is gone."""
@@ -197,7 +201,7 @@
             if placed.until_ms < now_ms
         ]
         for attempt in expired:
-            self._balancer.ended(self._turns.pop(attempt).instance)
+            self._balancer.record_ended(self._turns.pop(attempt).instance)
 
 
 def _moved(known: float, reported: float) -> float:
--- a/catkinpin/core/placement/regression.py
+++ b/catkinpin/core/placement/regression.py
@@ -89,7 +89,7 @@
         self._new = 0
         self._drawn = 0
 
-    def at(self, x: float) -> float:
+    def value_at(self, x: float) -> float:
         """Returns the line's value."""
         return self.base + self.slope * x
 
--- a/catkinpin/core/placement/residents.py
+++ b/catkinpin/core/placement/residents.py
@@ -32,10 +32,10 @@
     """
 
     tokens: int
-    used_ms: int
+    last_used_ms: int
     cached: bool = True
     running: int = 0
-    missed: int = 0
+    missed_reports: int = 0
 
 
 class Residents:
@@ -68,7 +68,7 @@
         found = self._active.get(key) or self._idle.get(key)
         return found.tokens if found is not None and found.cached else 0
 
-    def started(self, key: ProgramKey, tokens: int, now_ms: int) -> None:
+    def start_call(self, key: ProgramKey, tokens: int, now_ms: int) -> None:
         """Notes a call that was granted with a context of `tokens`."""
         resident = self._pop(key) or Resident(tokens, now_ms)
         resident.tokens = max(tokens, resident.tokens)
@@ -76,7 +76,7 @@
         resident.cached = True
         self._add_active(key, resident, now_ms)
 
-    def ended(self, key: ProgramKey, tokens: int, now_ms: int) -> None:
+    def end_call(self, key: ProgramKey, tokens: int, now_ms: int) -> None:
         """Notes that a call has ended, with a context of `tokens` if known."""
         resident = self._pop(key)
         if resident is None:
@@ -85,18 +85,18 @@
         resident.running = max(0, resident.running - 1)
         self._add_active(key, resident, now_ms)
 
-    def pause(self, key: ProgramKey) -> None:
+    def deactivate(self, key: ProgramKey) -> None:
         """Keeps no room for a program any more; its prefix may stay."""
         resident = self._pop(key)
         if resident is not None:
             self._idle[key] = resident
             self._idle_tokens += resident.tokens
 
-    def drop(self, key: ProgramKey) -> None:
+    def remove(self, key: ProgramKey) -> None:
         """Forgets a program that has ended."""
         self._pop(key)
 
-    def rest(self, now_ms: int, hold_ms: int, cache_tokens: int) -> None:
+    def expire_idle(self, now_ms: int, hold_ms: int, cache_tokens: int) -> None:
         """Stops keeping room for programs that have paused for long.
 
         Their prefixes stay until the engine needs the memory: those used
@@ -105,14 +105,14 @@
         while self._active:
             key = next(iter(self._active))
             resident = self._active[key]
-            if now_ms - resident.used_ms < hold_ms:
+            if now_ms - resident.last_used_ms < hold_ms:
                 break
             if resident.running:
                 # It counts as used now, so that it is not met at each call.
                 self._active.move_to_end(key)
-                resident.used_ms = now_ms
+                resident.last_used_ms = now_ms
             else:
-                self.pause(key)
+                self.deactivate(key)
         self._shed(cache_tokens)
         while self._idle and (
             self.active_tokens + self._idle_tokens > cache_tokens
@@ -129,12 +129,12 @@
         while self.active_tokens > cache_tokens:
             for key, resident in self._active.items():
                 if not resident.running:
-                    self.pause(key)
+                    self.deactivate(key)
                     break
             else:
                 return
 
-    def correct(self, held: Iterable[str], made_ms: int) -> None:
+    def reconcile(self, held: Iterable[str], made_ms: int) -> None:
         """Takes the engine's own list of what it holds at `made_ms`.
 
         A prefix that the engine has evicted would otherwise draw its program
@@ -143,24 +143,24 @@
         names = set(held)
         for table in (self._active, self._idle):
             for key, resident in table.items():
-                if resident.running or resident.used_ms >= made_ms:
+                if resident.running or resident.last_used_ms >= made_ms:
                     continue
                 if f"{key.account}/{key.program}" in names:
-                    resident.missed = 0
+                    resident.missed_reports = 0
                     resident.cached = True
                     continue
-                resident.missed += 1
-                if resident.missed >= _MISSED_REPORTS:
+                resident.missed_reports += 1
+                if resident.missed_reports >= _MISSED_REPORTS:
                     resident.cached = False
 
-    def changed(self, key: ProgramKey, held_tokens: int) -> None:
+    def record_cache_event(self, key: ProgramKey, held_tokens: int) -> None:
         """Notes an engine's event: so much of a program is held now."""
         resident = self._active.get(key) or self._idle.get(key)
         if resident is not None and not resident.running:
             resident.cached = held_tokens > 0
-            resident.missed = 0
+            resident.missed_reports = 0
 
-    def programs(self) -> list[tuple[ProgramKey, Resident]]:
+    def active_programs(self) -> list[tuple[ProgramKey, Resident]]:
         """Returns the active programs, the longest unused first."""
         return list(self._active.items())
 
@@ -177,7 +177,7 @@
     def _add_active(
         self, key: ProgramKey, resident: Resident, now_ms: int
     ) -> None:
-        resident.used_ms = now_ms
-        resident.missed = 0
+        resident.last_used_ms = now_ms
+        resident.missed_reports = 0
         self._active[key] = resident
         self.active_tokens += resident.tokens
--- a/catkinpin/core/placement/scheduler.py
+++ b/catkinpin/core/placement/scheduler.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class WaitPlan:
+class QueueOptions:
     """How calls may wait for a better server.
 
     Attributes:
@@ -43,10 +43,10 @@
         tries: calls that get no server in a row before a round ends.
     """
 
-    order: waiting.Order = waiting.least_attained
+    order: waiting.Ordering = waiting.least_attained
     max_waiting: int = 1_000
     starved_after_ms: int = 60_000
-    tries: int = 32
+    max_misses: int = 32
 
 
 @dataclasses.dataclass
@@ -64,7 +64,7 @@
         self,
         view: ServerView,
         policy: Callable[[Job, list[Server], int], Server | None],
-        plan: WaitPlan | None = None,
+        plan: QueueOptions | None = None,
         keeps: Callable[[Job, Server, int], bool] = lambda *_: False,
     ) -> None:
         """Creates a scheduler.
@@ -86,7 +86,7 @@
         # Learned: tokens that engines count by the bound, for each target.
         self._scale: dict[str, float] = {}
         self._homes: dict[ProgramKey, str] = {}
-        self._waiting: dict[tuple[str, str], waiting.WaitingCalls] = {}
+        self._waiting: dict[tuple[str, str], waiting.CallQueue] = {}
 
     def submit(self, job: Job, now_ms: int) -> list[Decision]:
         """Takes a call; one that is known already changes nothing."""
@@ -125,10 +125,10 @@
             job,
             prompt_tokens=max(prompt, job.history_tokens),
             shared_tokens=shared,
-            bound_tokens=job.prompt_tokens,
+            prompt_bound_tokens=job.prompt_tokens,
         )
 
-    def ended(
+    def end_call(
         self, key: CallKey, now_ms: int, usage: Usage | None = None
     ) -> list[Decision]:
         """Notes that a call holds no server any more, and fills the room.
@@ -172,28 +172,30 @@
                 common = (job.key.account, job.target)
                 self._common[common] = usage.cached_tokens
             counted = usage.prompt_tokens - job.stored_tokens
-            if job.bound_tokens and counted > 0:
+            if job.prompt_bound_tokens and counted > 0:
                 before = self._scale.get(job.target, 1.0)
-                step = _LEARNING * (counted / job.bound_tokens - before)
+                step = _LEARNING * (counted / job.prompt_bound_tokens - before)
                 self._scale[job.target] = before + step
             tokens = usage.prompt_tokens + usage.completion_tokens
-            tokens -= job.prompt_tokens - candidates.own_tokens(job, server)
-        server.residents.ended(job.key.program_key, max(0, tokens), now_ms)
+            tokens -= job.prompt_tokens - candidates.unshared_tokens(
+                job, server
+            )
+        server.residents.end_call(job.key.program_key, max(0, tokens), now_ms)
 
-    def program_ended(self, key: ProgramKey) -> None:
+    def end_program(self, key: ProgramKey) -> None:
         """Notes that a program will make no more calls."""
         home = self._view.servers.get(self._homes.pop(key, ""))
         if home is not None:
-            home.residents.drop(key)
+            home.residents.remove(key)
 
-    def resume(self, key: CallKey, server: str) -> None:
+    def restore_call(self, key: CallKey, server: str) -> None:
         """Notes an attempt that an earlier leader granted."""
         found = self._view.servers.get(server)
         self._running[key] = _Running(found)
         if found is not None:
             found.granted += 1
 
-    def stop(self) -> None:
+    def release_all(self) -> None:
         """Gives back all that it counted on servers; its leader steps down.
 
         Several shards' schedulers share a view. What a former leader counted
@@ -205,19 +207,19 @@
         self._running.clear()
         self._waiting.clear()
         for program in list(self._homes):
-            self.program_ended(program)
+            self.end_program(program)
 
     def tick(self, now_ms: int) -> list[Decision]:
         """Decides anew after reports have come or time has passed."""
         decisions: list[Decision] = []
         for calls in self._waiting.values():
-            for job in calls.overdue(now_ms):
+            for job in calls.expired_jobs(now_ms):
                 calls.remove(job.key)
                 text = f"no server for {job.target!r} was free in time"
                 decisions.append(
                     Reject(job.key, Reason.DEADLINE, text, _RETRY_AFTER_MS)
                 )
-            calls.promote(now_ms)
+            calls.promote_starved(now_ms)
             decisions += self._fill(calls, now_ms)
         return decisions
 
@@ -227,27 +229,27 @@
             if key in calls:
                 calls.remove(key)
 
-    def _calls(self, job: Job) -> waiting.WaitingCalls:
-        plan = self._plan or WaitPlan()
+    def _calls(self, job: Job) -> waiting.CallQueue:
+        plan = self._plan or QueueOptions()
         key = (job.kind, job.target)
         if key not in self._waiting:
-            self._waiting[key] = waiting.WaitingCalls(
+            self._waiting[key] = waiting.CallQueue(
                 plan.order, plan.starved_after_ms
             )
         return self._waiting[key]
 
-    def _must_queue(self, job: Job, calls: waiting.WaitingCalls) -> bool:
+    def _must_queue(self, job: Job, calls: waiting.CallQueue) -> bool:
         """Returns whether the call would overtake one that has starved."""
-        return calls.starved() > 0 and self._wants_room(job)
+        return calls.starved_count() > 0 and self._wants_room(job)
 
-    def _fill(self, calls: waiting.WaitingCalls, now_ms: int) -> list[Decision]:
+    def _fill(self, calls: waiting.CallQueue, now_ms: int) -> list[Decision]:
         """Places the calls that can go now, in order."""
         if not len(calls):
             return []
-        plan = self._plan or WaitPlan()
+        plan = self._plan or QueueOptions()
         placed: list[Decision] = []
         misses = 0
-        starved = calls.starved()
+        starved = calls.starved_count()
         # A program that needs as much memory as one that found none, or
         # more, finds none either: it need not be tried.
         min_missed_tokens: dict[str, float] = collections.defaultdict(
@@ -268,7 +270,7 @@
                 calls.remove(job.key)
                 placed.append(self._place(job, server, now_ms))
                 continue
-            if wants_room and not job.without:
+            if wants_room and not job.excluded_servers:
                 least = min(min_missed_tokens[group], job.prompt_tokens)
                 min_missed_tokens[group] = least
             # What runs out would go to a starved call; a younger one that
@@ -276,7 +278,7 @@
             if position < starved and wants_room:
                 min_missed_tokens[group] = 0
             misses += 1
-            if misses >= plan.tries:
+            if misses >= plan.max_misses:
                 break
         return placed
 
@@ -287,13 +289,18 @@
         take longer to compute it, no other need be looked at.
         """
         home = self._homes.get(job.key.program_key, "")
-        found = self._view.usable(
-            job.kind, job.target, now_ms, job.without, job.allowed, home
+        found = self._view.usable_servers(
+            job.kind,
+            job.target,
+            now_ms,
+            job.excluded_servers,
+            job.is_allowed,
+            home,
         )
         if found and self._keeps(job, found[0], now_ms):
             return found
-        return self._view.usable(
-            job.kind, job.target, now_ms, job.without, job.allowed
+        return self._view.usable_servers(
+            job.kind, job.target, now_ms, job.excluded_servers, job.is_allowed
         )
 
     def _wants_room(self, job: Job) -> bool:
@@ -313,15 +320,15 @@
         server.granted += 1
         if job.kind == "model":
             self._move(program, name)
-            tokens = candidates.own_tokens(job, server)
-            server.residents.started(program, tokens, now_ms)
+            tokens = candidates.unshared_tokens(job, server)
+            server.residents.start_call(program, tokens, now_ms)
         return Place(job.key, server)
 
     def _move(self, program: ProgramKey, name: str) -> None:
         """Makes a server the program's home and keeps no room at another."""
         before = self._view.servers.get(self._homes.get(program, ""))
         if before is not None and before.report.server != name:
-            before.residents.pause(program)
+            before.residents.deactivate(program)
         self._homes[program] = name
 
 
--- a/catkinpin/core/placement/servers.py
+++ b/catkinpin/core/placement/servers.py
@@ -30,9 +30,9 @@
     """
 
     report: ServerReport
-    seen_ms: int
+    reported_ms: int
     granted: int = 0
-    others: int = 0
+    foreign_calls: int = 0
     residents: Residents = dataclasses.field(default_factory=Residents)
 
     @property
@@ -48,9 +48,9 @@
     @property
     def load(self) -> int:
         """Running calls: what we granted, and what others did."""
-        return self.granted + self.others
+        return self.granted + self.foreign_calls
 
-    def correct(self, report: ServerReport, made_ms: int) -> None:
+    def apply_report(self, report: ServerReport, made_ms: int) -> None:
         """Takes in a newer report of the same incarnation.
 
         A report that claims to run more calls than fit is a lie: one broken
@@ -59,12 +59,12 @@
         what we granted counts in any case.
         """
         self.report = report
-        self.seen_ms = made_ms
+        self.reported_ms = made_ms
         honest = report.running <= report.capacity
         foreign = report.running + report.waiting - self.granted
-        self.others = max(0, foreign) if honest else 0
+        self.foreign_calls = max(0, foreign) if honest else 0
         if report.kind == "model":
-            self.residents.correct(report.held, made_ms)
+            self.residents.reconcile(report.held, made_ms)
 
 
 class ServerView:
@@ -75,15 +75,15 @@
         # Names by what they serve, so that a choice looks at no other server.
         self._by_target: dict[tuple[str, str], dict[str, Server]] = {}
 
-    def report(self, report: ServerReport, made_ms: int) -> None:
+    def apply_report(self, report: ServerReport, made_ms: int) -> None:
         """Takes in a report made at `made_ms`; an older one is dropped."""
         known = self.servers.get(report.server)
         if known is None or known.report.incarnation != report.incarnation:
-            if known is None or made_ms >= known.seen_ms:
+            if known is None or made_ms >= known.reported_ms:
                 self._forget(report.server)
                 self._remember(Server(report, made_ms))
             return
-        if made_ms < known.seen_ms:
+        if made_ms < known.reported_ms:
             return
         same = (
             known.report.kind == report.kind
@@ -91,11 +91,11 @@
         )
         if not same:
             self._forget(report.server)
-        known.correct(report, made_ms)
+        known.apply_report(report, made_ms)
         if not same:
             self._remember(known)
 
-    def cache_events(self, events: CacheEvents) -> None:
+    def apply_cache_events(self, events: CacheEvents) -> None:
         """Takes in what an engine says of its prefix cache.
 
         Events that were lost leave the ledger wrong until the next report of
@@ -107,9 +107,9 @@
         for event in events.events:
             account, _, program = event.program.partition("/")
             key = ProgramKey(account=account, program=program)
-            server.residents.changed(key, event.tokens)
+            server.residents.record_cache_event(key, event.tokens)
 
-    def usable(
+    def usable_servers(
         self,
         kind: str,
         target: str,
@@ -129,29 +129,29 @@
         for name, server in servers.items():
             if server.report.leaving or name in without:
                 continue
-            if now_ms - server.seen_ms > SILENT_AFTER_MS:
+            if now_ms - server.reported_ms > SILENT_AFTER_MS:
                 continue
             if not allowed(server.report):
                 continue
             found.append(server)
         return found
 
-    def silent(self, now_ms: int) -> list[str]:
+    def silent_servers(self, now_ms: int) -> list[str]:
         """Returns the servers that have not reported for some time."""
         return [
             name
             for name, server in self.servers.items()
-            if now_ms - server.seen_ms > SILENT_AFTER_MS
+            if now_ms - server.reported_ms > SILENT_AFTER_MS
         ]
 
-    def serves(self, kind: str, target: str) -> bool:
+    def has_server(self, kind: str, target: str) -> bool:
         """Returns whether any known server, even a silent one, serves it."""
         return bool(self._by_target.get((kind, target)))
 
     def forget_silent(self, now_ms: int) -> None:
         """Drops servers that have been silent for long."""
         for name, server in list(self.servers.items()):
-            if now_ms - server.seen_ms >= _FORGET_AFTER_MS:
+            if now_ms - server.reported_ms >= _FORGET_AFTER_MS:
                 self._forget(name)
 
     def _remember(self, server: Server) -> None:
--- a/catkinpin/core/placement/speeds.py
+++ b/catkinpin/core/placement/speeds.py
@@ -87,7 +87,7 @@
             and _BESIDE_BOUNDS.clip(self.beside_ms) == self.beside_ms
         )
 
-    def times(self, factor: float) -> EngineSpeed:
+    def scaled(self, factor: float) -> EngineSpeed:
         """Returns the speed of a server that takes `factor` times as long."""
         return EngineSpeed(
             self.read_ms * factor,
@@ -97,7 +97,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Streamed:
+class StreamTimings:
     """Times of one answer of a model server.
 
     Attributes:
@@ -112,7 +112,7 @@
     read_tokens: int | None
     first_ms: float
     gaps_ms: list[float]
-    beside: int
+    concurrent: int
     waiting: int
 
 
@@ -146,7 +146,7 @@
             self._first.slope, self._token.base, self._token.slope
         )
 
-    def streamed(self, sample: Streamed) -> float:
+    def streamed(self, sample: StreamTimings) -> float:
         """Learns from an answer.
 
         Returns:
@@ -158,8 +158,8 @@
             return 0.0
         low = sorted(sample.gaps_ms)[int(len(sample.gaps_ms) * _LOW_GAP)]
         gap_ms = _TOKEN_BOUNDS.clip(low)
-        self._token.add(sample.beside, gap_ms)
-        return gap_ms / self._token.at(sample.beside)
+        self._token.add(sample.concurrent, gap_ms)
+        return gap_ms / self._token.value_at(sample.concurrent)
 
 
 class Speeds:
@@ -170,12 +170,12 @@
         self._factors: dict[str, _Factor] = {}
         self._plain_ms: dict[str, float] = {}
 
-    def engine(self, service: str) -> EngineSpeed:
+    def engine_speed(self, service: str) -> EngineSpeed:
         """Returns how fast a usual model server of a service is."""
         engines = self._engines.get(service)
         return engines.speed if engines is not None else EngineSpeed()
 
-    def factor(self, server: str, now_ms: int) -> float:
+    def slowdown(self, server: str, now_ms: int) -> float:
         """Returns how many times the usual a server takes."""
         factor = self._factors.get(server)
         if factor is None:
@@ -187,12 +187,12 @@
         """Returns what a plain call of a route usually takes."""
         return self._plain_ms.get(route, _PLAIN_MS)
 
-    def streamed(
+    def record_stream(
         self,
         service: str,
         server: str,
         started_ms: int,
-        sample: Streamed,
+        sample: StreamTimings,
         now_ms: int,
     ) -> None:
         """Learns from a whole answer of a model server."""
@@ -207,18 +207,18 @@
             factor.log = known + (aim - known) * _FACTOR_WEIGHT
             factor.at_ms = now_ms
 
-    def answered(self, route: str, took_ms: float) -> None:
+    def record_plain_call(self, route: str, took_ms: float) -> None:
         """Learns from the answer to a plain call."""
         usual_ms = self.plain_ms(route)
         took_ms = min(took_ms, _PLAIN_MAX_RATIO * usual_ms)
         moved_ms = usual_ms + (took_ms - usual_ms) * _PLAIN_WEIGHT
         self._plain_ms[route] = _PLAIN_BOUNDS.clip(moved_ms)
 
-    def likely_ms(self, service: str, route: str, call: RouteCall) -> float:
+    def expected_ms(self, service: str, route: str, call: RouteCall) -> float:
         """Returns what a request likely takes on a server that isn't busy."""
         if not call.max_tokens:
             return self.plain_ms(route)
-        speed = self.engine(service)
+        speed = self.engine_speed(service)
         wanted = sum(part.tokens for part in call.prompt)
         made_ms = call.max_tokens * speed.token_ms
         return _FIRST_MS + wanted * speed.read_ms + made_ms
--- a/catkinpin/core/placement/unresponsive.py
+++ b/catkinpin/core/placement/unresponsive.py
@@ -39,24 +39,24 @@
     overdue_ms: float
 
 
-class WaitingCalls:
+class PendingCalls:
     """Plain calls of one gateway that wait for their answers."""
 
     def __init__(self) -> None:
         self._calls: dict[str, _Call] = {}
 
-    def sent(
+    def add(
         self, attempt: str, server: str, usual_ms: float, now_ms: int
     ) -> None:
         """Notes that a call was sent."""
         limit_ms = max(_MIN_OVERDUE_MS, _OVERDUE_TIMES * usual_ms)
         self._calls[attempt] = _Call(server, now_ms + limit_ms)
 
-    def ended(self, attempt: str) -> None:
+    def remove(self, attempt: str) -> None:
         """Notes that a call waits no more."""
         self._calls.pop(attempt, None)
 
-    def unresponsive(self, now_ms: int) -> set[str]:
+    def overdue_servers(self, now_ms: int) -> set[str]:
         """Returns servers that have an overdue call."""
         return {
             call.server
@@ -65,7 +65,7 @@
         }
 
 
-def leave_out(
+def eject_unresponsive(
     balancer: Balancer,
     unresponsive: Collection[str],
     servers: Collection[Instance],
@@ -89,11 +89,11 @@
     found = [s.id for s in ready if s.id in unresponsive]
     if 2 * len(found) > len(ready):
         return
-    out = balancer.left_out(ready, now_ms)
+    out = balancer.ejected_servers(ready, now_ms)
     room = len(ready) // 2 - len(out.difference(found))
     found.sort(key=lambda server: server not in out)
     for server in found[: max(0, room)]:
-        balancer.avoid(server, until_ms)
+        balancer.eject_until(server, until_ms)
 
 
 class UnresponsiveServers:
@@ -113,7 +113,7 @@
         for server in servers:
             self._seen[server][gateway] = now_ms
 
-    def known(self, gateways: int, now_ms: int) -> list[str]:
+    def confirmed(self, gateways: int, now_ms: int) -> list[str]:
         """Returns servers that enough gateways have seen unresponsive."""
         since_ms = now_ms - _SEEN_MS
         found = []
--- a/catkinpin/core/placement/urgency.py
+++ b/catkinpin/core/placement/urgency.py
@@ -24,11 +24,11 @@
     from catkinpin.core.requests.calls import RouteCall
 
 # The scale of the engines: 0 is first, 9 last, 5 where nothing is said.
-UNDER_WAY = 3
-FRESH = 4
-USUAL = 5
-BEHIND = 6
-HOPELESS = 8
+URGENCY_ON_TIME = 3
+URGENCY_NEW = 4
+URGENCY_DEFAULT = 5
+URGENCY_LATE = 6
+URGENCY_EXPIRED = 8
 # Of what a program was allowed, so much may be lost before it is behind.
 # Programs allowed twice their time on idle servers have half of it as slack.
 _SLACK = 0.35
@@ -52,19 +52,23 @@
     turns: int = 0
 
 
-def of_turn(program_status: ProgramStatus) -> int:
+def turn_urgency(program_status: ProgramStatus) -> int:
     """Returns how urgent a program's next turn is."""
     allowed_ms = program_status.allowed_ms
     elapsed_ms = program_status.elapsed_ms
     if not allowed_ms:
-        return USUAL
+        return URGENCY_DEFAULT
     if elapsed_ms > 2 * allowed_ms:
-        return HOPELESS
+        return URGENCY_EXPIRED
     slack_ms = _SLACK * allowed_ms
     if not program_status.turns:
-        return FRESH if elapsed_ms <= slack_ms else BEHIND
+        return URGENCY_NEW if elapsed_ms <= slack_ms else URGENCY_LATE
     late = elapsed_ms > allowed_ms
-    return BEHIND if late or program_status.lost_ms > slack_ms else UNDER_WAY
+    return (
+        URGENCY_LATE
+        if late or program_status.lost_ms > slack_ms
+        else URGENCY_ON_TIME
+    )
 
 
 def lost_ms(
--- a/catkinpin/core/placement/waiting.py
+++ b/catkinpin/core/placement/waiting.py
@@ -13,7 +13,7 @@
     from catkinpin.core.placement.jobs import Job
 
 OrderKey = tuple[int, ...]
-Order = Callable[["Job", int], OrderKey]
+Ordering = Callable[["Job", int], OrderKey]
 
 
 def least_attained(job: Job, now_ms: int) -> OrderKey:
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(order=True)
-class Waiting:
+class QueuedCall:
     """A call that waits."""
 
     order: OrderKey
@@ -46,19 +46,19 @@
     job: Job = dataclasses.field(compare=False)
 
 
-class WaitingCalls:
+class CallQueue:
     """The calls that wait for the servers of one target, in order.
 
     A call that has waited for the starvation bound, or for half the time that
     its caller gives it, goes before all others.
     """
 
-    def __init__(self, order: Order, starved_after_ms: int) -> None:
+    def __init__(self, order: Ordering, starved_after_ms: int) -> None:
         self._order = order
         self._starved_after_ms = starved_after_ms
-        self._starved: list[Waiting] = []
-        self._sorted: list[Waiting] = []
-        self._by_key: dict[CallKey, Waiting] = {}
+        self._starved: list[QueuedCall] = []
+        self._sorted: list[QueuedCall] = []
+        self._by_key: dict[CallKey, QueuedCall] = {}
         self._number = 0
 
     def __len__(self) -> int:
@@ -74,7 +74,7 @@
         bound = self._starved_after_ms
         if job.deadline_ms:
             bound = min(bound, (job.deadline_ms - now_ms) // 2)
-        waiting = Waiting(order, self._number, now_ms + bound, job)
+        waiting = QueuedCall(order, self._number, now_ms + bound, job)
         self._by_key[job.key] = waiting
         bisect.insort(self._sorted, waiting)
 
@@ -88,7 +88,7 @@
         else:
             del self._sorted[bisect.bisect_left(self._sorted, waiting)]
 
-    def promote(self, now_ms: int) -> None:
+    def promote_starved(self, now_ms: int) -> None:
         """Moves calls that have waited too long to the front."""
         starved = [
             waiting for waiting in self._sorted if waiting.starves_ms <= now_ms
@@ -99,7 +99,7 @@
         self._sorted = [w for w in self._sorted if w.number not in gone]
         self._starved += sorted(starved, key=lambda w: w.starves_ms)
 
-    def overdue(self, now_ms: int) -> list[Job]:
+    def expired_jobs(self, now_ms: int) -> list[Job]:
         """Returns the calls whose callers no longer wait."""
         return [
             waiting.job
@@ -107,7 +107,7 @@
             if 0 < waiting.job.deadline_ms <= now_ms
         ]
 
-    def starved(self) -> int:
+    def starved_count(self) -> int:
         """Returns how many calls have waited for the bound."""
         return len(self._starved)
 
--- a/catkinpin/core/programs/admissions.py
+++ b/catkinpin/core/programs/admissions.py
@@ -81,7 +81,7 @@
         if self._gate.is_closed(content):
             text = "this request crashed servers and is quarantined"
             return effects.BeginRejected(begin, Reason.QUARANTINED, text)
-        scopes = assignment.scopes_of(cfg, begin)
+        scopes = assignment.limit_scopes(cfg, begin)
         down = self._admission.check(scopes, begin.deadline_ms, now_ms)
         if down is None:
             return None
--- a/catkinpin/core/programs/explanations.py
+++ b/catkinpin/core/programs/explanations.py
@@ -108,9 +108,9 @@
     server = cost.server
     return Candidate(
         server=server.report.server,
-        wait_ms=round(cost.wait),
-        prefill_ms=round(cost.prefill),
-        transfer_ms=round(cost.transfer),
+        wait_ms=round(cost.wait_ms),
+        prefill_ms=round(cost.prefill_ms),
+        transfer_ms=round(cost.transfer_ms),
         fits=cost.fits,
         load=server.load,
         capacity=server.report.capacity,
--- a/catkinpin/core/programs/grants.py
+++ b/catkinpin/core/programs/grants.py
@@ -41,7 +41,7 @@
         waiters: Waiters,
         watch: attempts.Watch,
         deadlines: Deadlines,
-        placing: assignment.Placing,
+        placing: assignment.CallAssigner,
         admission: Admission,
         entries: Mapping[str, EntryRef],
         cfg: Callable[[], Configuration],
@@ -61,7 +61,7 @@
         deployment = self.deployment(begin)
         priority = deployment.priority if deployment is not None else 0
         entries = list(self._entries.values())
-        return assignment.choice_of(placed, entry, entries, priority)
+        return assignment.logged_choice(placed, entry, entries, priority)
 
     def granted(
         self, effect: effects.CallGranted, now_ms: int, wall_ms: int
@@ -70,7 +70,7 @@
         call = effect.call
         attempt = call.attempt
         assert attempt is not None
-        self._admission.started(call.key, now_ms)
+        self._admission.mark_running(call.key, now_ms)
         incarnation = attempt.choice.entry_incarnation
         waiter = self._waiters.for_grant(call.key, incarnation)
         if waiter is None:
@@ -93,15 +93,15 @@
 
     def opened(self, call: Call, now_ms: int, wall_ms: int) -> None:
         """Notes an open call of the log."""
-        scopes = assignment.scopes_of(self._cfg(), call.begin)
-        self._admission.opened(call.key, scopes, now_ms)
+        scopes = assignment.limit_scopes(self._cfg(), call.begin)
+        self._admission.add_call(call.key, scopes, now_ms)
         self._deadlines.call_open(call, now_ms, wall_ms)
 
     def resume(self, call: Call, now_ms: int) -> None:
         """Watches the attempt that an earlier leader granted."""
         if call.attempt is None:
             return
-        self._admission.started(call.key, now_ms)
+        self._admission.mark_running(call.key, now_ms)
         self._watch.add(call.key, call.attempt)
-        self._placing.resume(call, call.attempt)
+        self._placing.restore_call(call, call.attempt)
         self._deadlines.started(call.attempt.attempt, now_ms)
--- a/catkinpin/core/programs/leader.py
+++ b/catkinpin/core/programs/leader.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, TypeGuard
 
 from catkinpin.core.placement import assignment, limits
-from catkinpin.core.placement.ejection import Outliers
+from catkinpin.core.placement.ejection import OutlierDetector
 from catkinpin.core.programs import crashes, effects, records, replies
 from catkinpin.core.programs.admissions import Admissions
 from catkinpin.core.programs.attempts import Watch
@@ -75,9 +75,9 @@
         )
         self.admission = limits.Admission()
         self.retries = limits.RetryBudget()
-        self.outliers = Outliers(rng)
+        self.outliers = OutlierDetector(rng)
         self._rng = rng
-        self._placing = assignment.Placing(
+        self._placing = assignment.CallAssigner(
             state, jobs, self.outliers, lambda: self.cfg
         )
         self._gate = crashes.Gate(state, quarantined)
@@ -174,7 +174,7 @@
     def reported(self, report: messages.ServerReport, made_ms: int) -> None:
         """Takes a server's report, made at a monotonic time."""
         self._incarnations.reported(report, made_ms)
-        self.outliers.seen(report.server, report.incarnation)
+        self.outliers.register(report.server, report.incarnation)
 
     def entry_connected(self, entry: EntryRef) -> list[Command]:
         """Notes an entry that can dispatch in its region."""
@@ -193,11 +193,11 @@
     ) -> list[Command]:
         """Turns the scheduler's decisions about waiting calls into records."""
         commands: list[Command] = []
-        for outcome in self._placing.outcomes(decisions, now_ms):
+        for outcome in self._placing.resolve(decisions, now_ms):
             match outcome:
                 case assignment.Placed():
                     commands += self._start_attempt(outcome, now_ms, wall_ms)
-                case assignment.Later():
+                case assignment.Deferred():
                     wait = outcome.wait_ms
                     self._deadlines.place_later(outcome.key, now_ms, wait)
                 case assignment.Rejected():
@@ -262,11 +262,11 @@
             case effects.CallGranted():
                 return self._grants.granted(effect, now_ms, wall_ms)
             case effects.CallAnswered():
-                self.admission.closed(effect.key, now_ms, answered=True)
+                self.admission.remove_call(effect.key, now_ms, answered=True)
                 return self._outcomes.answer(effect)
             case effects.CallTurnedDown():
-                self.admission.closed(effect.key, now_ms, answered=False)
-                decisions = self._placing.ended(effect.key, now_ms)
+                self.admission.remove_call(effect.key, now_ms, answered=False)
+                decisions = self._placing.end_call(effect.key, now_ms)
                 return [
                     *self._outcomes.refuse(effect.key, effect.refusal),
                     *self.decided(decisions, now_ms, wall_ms),
@@ -279,7 +279,7 @@
                 return self._outcomes.reject(effect)
             case effects.ProgramOver():
                 self._deadlines.program_over(effect.program, now_ms)
-                self._placing.program_over(effect.program.key)
+                self._placing.end_program(effect.program.key)
                 return []
             case effects.ContentQuarantined():
                 return []
@@ -296,11 +296,11 @@
         commands: list[Command] = []
         content = self._shard.content_of(begin)
         waits = self._shard.quarantine.must_wait(content)
-        scopes = assignment.scopes_of(self.cfg, begin)
+        scopes = assignment.limit_scopes(self.cfg, begin)
         waits = waits or not self.admission.may_start(scopes)
         if self._admissions.is_next(begin) and not waits:
             outcomes = self._placing.submit_new(begin, now_ms)
-            for outcome in outcomes.own:
+            for outcome in outcomes.own_outcomes:
                 if isinstance(outcome, assignment.Rejected):
                     rejected = effects.BeginRejected(
                         begin,
@@ -312,16 +312,16 @@
                     return [replies.refuse_rejected(waiter, rejected, verdict)]
                 if isinstance(outcome, assignment.Placed):
                     choice = self._grants.choice(outcome, waiter.entry, begin)
-            commands += self.decided(outcomes.others, now_ms, wall_ms)
+            commands += self.decided(outcomes.other_decisions, now_ms, wall_ms)
         # The call's own deadline is this waiter's too.
         self._waiters.add(begin.key, waiter)
         self._admissions.propose(begin)
-        self.admission.opened(begin.key, scopes, now_ms)
-        self.retries.first_attempt(deployment.name)
+        self.admission.add_call(begin.key, scopes, now_ms)
+        self.retries.record_first_attempt(deployment.name)
         record = records.CallBegun(
             at_ms=wall_ms,
             begin=begin,
-            limits=assignment.limits_of(deployment),
+            limits=assignment.program_limits(deployment),
             choice=choice,
         )
         return [Propose(record), *commands]
@@ -344,7 +344,7 @@
         commands = self._free_server(key, now_ms, wall_ms)
         found = self._shard.find_open(key)
         if found is None:
-            self.admission.closed(key, now_ms, answered=False)
+            self.admission.remove_call(key, now_ms, answered=False)
             return commands
         program, call = found
         self._grants.opened(call, now_ms, wall_ms)
@@ -365,7 +365,7 @@
         if self._shard.quarantine.must_wait(content):
             self._gate.hold(key)
             return []
-        scopes = assignment.scopes_of(self.cfg, call.begin)
+        scopes = assignment.limit_scopes(self.cfg, call.begin)
         if not self.admission.may_start(scopes):
             self._deadlines.place_later(key, now_ms, _ROOM_WAIT_MS)
             return []
@@ -402,7 +402,7 @@
         begin = self._admissions.begin_of(placed.key)
         if waiter is None or begin is None:
             # Nobody could use the grant; the server's room goes to others.
-            decisions = self._placing.ended(placed.key, now_ms)
+            decisions = self._placing.end_call(placed.key, now_ms)
             return self.decided(decisions, now_ms, wall_ms)
         record = records.AttemptStarted(
             at_ms=wall_ms,
@@ -415,7 +415,7 @@
         self, record: records.AttemptFinished, now_ms: int, wall_ms: int
     ) -> list[Command]:
         if record.answer is not None:
-            self._placing.answered(record.key)
+            self._placing.record_answer(record.key)
         watched = self._watch.remove(record.attempt)
         if watched is not None:
             self._outcomes.judge_server(watched, record, now_ms)
@@ -433,8 +433,8 @@
         if found is not None and found[1].attempt is not None:
             return []
         if found is not None:
-            self.admission.stopped(key)
-        decisions = self._placing.ended(key, now_ms, usage)
+            self.admission.mark_stopped(key)
+        decisions = self._placing.end_call(key, now_ms, usage)
         return self.decided(decisions, now_ms, wall_ms)
 
 
--- a/catkinpin/core/programs/outcomes.py
+++ b/catkinpin/core/programs/outcomes.py
@@ -13,7 +13,7 @@
 
     from catkinpin.core import messages
     from catkinpin.core.messages import CallKey
-    from catkinpin.core.placement.ejection import Outliers
+    from catkinpin.core.placement.ejection import OutlierDetector
     from catkinpin.core.programs import attempts, effects
     from catkinpin.core.programs.admissions import Admissions
     from catkinpin.core.programs.commands import Command
@@ -37,7 +37,7 @@
         state: Shard,
         waiters: Waiters,
         admissions: Admissions,
-        outliers: Outliers,
+        outliers: OutlierDetector,
     ) -> None:
         self._shard = state
         self._waiters = waiters
@@ -101,9 +101,9 @@
     ) -> None:
         """Notes whether a server answered or failed."""
         if record.answer is not None:
-            self._outliers.succeeded(watched.server)
+            self._outliers.record_success(watched.server)
         elif record.reason in (Reason.SERVER_FAILED, Reason.SERVER_REFUSED):
-            self._outliers.failed(watched.server, now_ms)
+            self._outliers.record_failure(watched.server, now_ms)
 
     def refuse(
         self, key: CallKey, refusal: records.CallRefused
--- a/catkinpin/core/requests/events.py
+++ b/catkinpin/core/requests/events.py
@@ -28,7 +28,7 @@
         self._rest = b""
 
     @property
-    def is_between(self) -> bool:
+    def is_at_boundary(self) -> bool:
         """Whether no event is half read."""
         return not self._rest
 
--- a/catkinpin/core/requests/pauses.py
+++ b/catkinpin/core/requests/pauses.py
@@ -20,7 +20,7 @@
     deviation_ms: float
 
 
-class Gaps:
+class GapEstimator:
     """Expected gap between the events of each server's streams.
 
     Args:
@@ -33,7 +33,7 @@
         self._high_ms = max(low_ms, high_ms)
         self._known: dict[str, _Estimate] = {}
 
-    def note(self, server: str, gap_ms: float) -> None:
+    def record_gap(self, server: str, gap_ms: float) -> None:
         """Takes in the time between two events of a stream."""
         known = self._known.get(server)
         if known is None:
@@ -47,7 +47,7 @@
             abs(error) - known.deviation_ms
         )
 
-    def election_timeout_ms(self, server: str) -> float:
+    def timeout_ms(self, server: str) -> float:
         """Returns how long the next event may take before it is late."""
         known = self._known.get(server)
         if known is None:
--- a/catkinpin/core/requests/splice.py
+++ b/catkinpin/core/requests/splice.py
@@ -18,7 +18,7 @@
 _NO_CALL = -1
 
 
-class Splice:
+class StreamSplicer:
     """What a caller has of an answer.
 
     Attributes:
--- a/tests/fakes/gatewayrig.py
+++ b/tests/fakes/gatewayrig.py
@@ -36,7 +36,7 @@
 )
 from catkinpin.core.placement.balance import Balancer
 from catkinpin.core.placement.speeds import Speeds
-from catkinpin.core.placement.unresponsive import WaitingCalls
+from catkinpin.core.placement.unresponsive import PendingCalls
 from catkinpin.core.placement.urgency import ProgramStatus
 from catkinpin.core.requests.calls import AnswerFacts, RouteCall
 from tests.fakes.instances import instance
@@ -216,7 +216,7 @@
                 codec=codec,
                 clock=self.clock.clock(),
                 usage=self.usage,
-                waiting=WaitingCalls(),
+                waiting=PendingCalls(),
                 gateways=lambda: 1,
             )
         )
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -132,8 +132,8 @@
         """Returns a new leader's scheduler: calls may wait, or never do."""
         if self.rng.random() < 0.5:
             return scheduler.Scheduler(view, candidates.sticky)
-        policy = candidates.by_cost(candidates.Prices())
-        return scheduler.Scheduler(view, policy, scheduler.WaitPlan())
+        policy = candidates.by_cost(candidates.CostModel())
+        return scheduler.Scheduler(view, policy, scheduler.QueueOptions())
 
     def reconfigure(self) -> None:
         """Puts another configuration in force."""
--- a/tests/fakes/worldserver.py
+++ b/tests/fakes/worldserver.py
@@ -62,7 +62,7 @@
 
         def deliver() -> None:
             if self.world.leader is not None:
-                self.world.view.report(report, made)
+                self.world.view.apply_report(report, made)
                 self.world.leader.reported(report, made)
 
         self.world.after(self.world.latency(), deliver)
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -8,7 +8,7 @@
 
 from catkinpin.core.control.servers import Instance, ServerState
 from catkinpin.core.placement.balance import Balancer
-from catkinpin.core.placement.speeds import Speeds, Streamed
+from catkinpin.core.placement.speeds import Speeds, StreamTimings
 from catkinpin.core.requests.calls import Load, PromptPart, RouteCall
 from tests.fakes.instances import instance
 
@@ -43,7 +43,7 @@
         """
         balancer = _balancer()
         servers = [_server(n) for n in range(3)]
-        balancer.sent(servers[1], _turn("mine"))
+        balancer.record_sent(servers[1], _turn("mine"))
         balancer.report_load(servers[1], Load(6, 0, 12), 0)
         balancer.report_load(servers[0], Load(5, 0, 12), 0)
         balancer.report_load(servers[2], Load(5, 0, 12), 0)
@@ -62,8 +62,8 @@
         balancer = _balancer()
         servers = [_server(n) for n in range(3)]
         balancer.report_load(servers[2], Load(5, 0, 12), 0)
-        balancer.sent(servers[0], _turn("mine"))
-        balancer.ended(servers[0])
+        balancer.record_sent(servers[0], _turn("mine"))
+        balancer.record_ended(servers[0])
         for server in servers[:2]:
             balancer.report_load(server, Load(6, 0, 12), 3_000)
         choice = balancer.pick(servers, _turn("mine"), 3_100)
@@ -78,7 +78,7 @@
         """
         balancer = _balancer()
         servers = [_server(n) for n in range(2)]
-        balancer.sent(servers[0], _turn("mine"))
+        balancer.record_sent(servers[0], _turn("mine"))
         balancer.report_load(servers[0], Load(12, 20, 12), 0)
         balancer.report_load(servers[1], Load(0, 0, 12), 0)
         choice = balancer.pick(servers, _turn("mine"), 100)
@@ -102,7 +102,7 @@
                 call = RouteCall(attempt=str(number), max_tokens=500)
                 choice = balancer.pick(servers, call, 100)
                 assert choice is not None
-                balancer.sent(choice.instance, call)
+                balancer.record_sent(choice.instance, call)
                 counts[choice.instance.id] += 1
         self.assertLess(max(counts.values()), 1.5 * 72 / 4)
 
@@ -125,7 +125,7 @@
         """A server has crashed; always idle, it would attract all work."""
         balancer = _balancer()
         servers = [_server(n) for n in range(2)]
-        balancer.failed(servers[0], 0, sure=True)
+        balancer.record_failure(servers[0], 0, immediate=True)
         for _ in range(20):
             choice = balancer.pick(servers, _turn("x"), 100)
             assert choice is not None
@@ -145,7 +145,7 @@
         balancer = _balancer()
         servers = [_server(n) for n in range(2)]
         for server in servers:
-            balancer.failed(server, 0, sure=True)
+            balancer.record_failure(server, 0, immediate=True)
         self.assertIsNotNone(balancer.pick(servers, _turn("x"), 10))
 
     def test_draining_server_gets_nothing(self) -> None:
@@ -164,7 +164,7 @@
         for load in absurd:
             self.assertFalse(balancer.report_load(servers[0], load, 0))
         balancer.report_load(servers[1], Load(6, 0, 12), 0)
-        self.assertEqual(0.0, balancer.taken(servers[0], 10))
+        self.assertEqual(0.0, balancer.used_slot_share(servers[0], 10))
 
     def test_prompts_stay_where_they_lie_if_reading_is_slow(self) -> None:
         """An engine reads 20 tokens a ms, another service's reads 300.
@@ -179,7 +179,7 @@
             call = RouteCall(
                 "x", prompt=(PromptPart("mine", 3_000),), max_tokens=200
             )
-            balancer.sent(servers[0], call)
+            balancer.record_sent(servers[0], call)
             balancer.report_load(servers[0], Load(8, 0, 12), 0)
             balancer.report_load(servers[1], Load(0, 0, 12), 0)
             choice = balancer.pick(servers, call, 10)
@@ -194,6 +194,6 @@
         tokens = 200 + 50 * number
         beside = number % 8
         gaps = [1.0 + 0.05 * beside] * 5
-        told = Streamed(tokens, 20 + tokens / per_ms, gaps, beside, 0)
-        found.streamed("models", f"s{number % 2}", 1, told, number)
+        told = StreamTimings(tokens, 20 + tokens / per_ms, gaps, beside, 0)
+        found.record_stream("models", f"s{number % 2}", 1, told, number)
     return found
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -29,7 +29,7 @@
             data = [e.data for e in found]
             self.assertEqual([b"one", b"two\nmore", b"three"], data)
             self.assertEqual(text, raw)
-            self.assertTrue(reader.is_between)
+            self.assertTrue(reader.is_at_boundary)
 
     def test_half_an_event_is_kept_back(self) -> None:
         """A server breaks off in the middle of an event.
@@ -41,4 +41,4 @@
         events, raw = reader.feed(b"id: 1\ndata: one\n\nid: 2\nda")
         self.assertEqual(1, len(events))
         self.assertEqual(b"id: 1\ndata: one\n\n", raw)
-        self.assertFalse(reader.is_between)
+        self.assertFalse(reader.is_at_boundary)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -27,12 +27,12 @@
         scope = limits.Scope(limits.DEPLOYMENT, "d", Limits())
         for number in range(50):
             now = number * 10_000
-            admission.opened(_key(number), [scope], now)
-            admission.started(_key(number), now)
-            admission.closed(_key(number), now + 100, answered=True)
+            admission.add_call(_key(number), [scope], now)
+            admission.mark_running(_key(number), now)
+            admission.remove_call(_key(number), now + 100, answered=True)
         for number in range(100):
             self.assertIsNone(admission.check([scope], 2_000, now + 200))
-            admission.opened(_key(number), [scope], now + 200)
+            admission.add_call(_key(number), [scope], now + 200)
 
     def test_call_that_would_be_late_is_refused_with_a_time(self) -> None:
         """Callers come faster than servers answer.
@@ -42,10 +42,10 @@
         admission = limits.Admission()
         scope = limits.Scope(limits.DEPLOYMENT, "d", Limits())
         for number in range(400):
-            admission.opened(_key(number), [scope], 0)
+            admission.add_call(_key(number), [scope], 0)
         for number in range(200):
-            admission.started(_key(number), number * 10)
-            admission.closed(_key(number), number * 10 + 5, answered=True)
+            admission.mark_running(_key(number), number * 10)
+            admission.remove_call(_key(number), number * 10 + 5, answered=True)
         down = admission.check([scope], 1_000, 2_000)
         assert down is not None
         self.assertGreaterEqual(down.retry_after_ms, 200)
@@ -57,15 +57,15 @@
         scope = limits.Scope(limits.ACCOUNT, "a", bounds)
         for number in range(2):
             self.assertIsNone(admission.check([scope], 9_000, 0))
-            admission.opened(_key(number), [scope], 0)
+            admission.add_call(_key(number), [scope], 0)
         down = admission.check([scope], 9_000, 0)
         assert down is not None
         self.assertIn("waiting", down.text)
         self.assertTrue(admission.may_start([scope]))
-        admission.started(_key(0), 0)
+        admission.mark_running(_key(0), 0)
         self.assertFalse(admission.may_start([scope]))
-        admission.opened(_key(2), [scope], 0)
-        admission.closed(_key(1), 0, answered=False)
+        admission.add_call(_key(2), [scope], 0)
+        admission.remove_call(_key(1), 0, answered=False)
         down = admission.check([scope], 9_000, 0)
         assert down is not None
         self.assertIn("calls a second", down.text)
@@ -79,7 +79,7 @@
         budget = limits.RetryBudget(share=0.1)
         retried = 0
         for _ in range(10_000):
-            budget.first_attempt("d")
+            budget.record_first_attempt("d")
             retried += budget.spend("d") + budget.spend("d")
         self.assertLessEqual(retried, 1_100)
 
@@ -93,17 +93,17 @@
         Callers notice a few retries and no more; once it works again it gets
         one call at a time first.
         """
-        found = ejection.Outliers(random.Random(1))
+        found = ejection.OutlierDetector(random.Random(1))
         for number in range(10):
-            found.seen(f"s{number}", "i")
-        for _ in range(ejection.FAILURES_IN_A_ROW):
+            found.register(f"s{number}", "i")
+        for _ in range(ejection.CONSECUTIVE_FAILURES_TO_EJECT):
             self.assertTrue(found.admits("s0", 0, 0))
-            found.failed("s0", 0)
+            found.record_failure("s0", 0)
         self.assertFalse(found.admits("s0", 0, 1_000))
         self.assertTrue(found.admits("s0", 0, 5_000))
         self.assertFalse(found.admits("s0", 1, 5_000))
         for _ in range(5):
-            found.succeeded("s0")
+            found.record_success("s0")
         self.assertTrue(found.admits("s0", 3, 5_000))
 
     def test_most_servers_stay_when_all_fail(self) -> None:
@@ -111,9 +111,9 @@
 
         Ejecting all of them would turn failures into a standstill.
         """
-        found = ejection.Outliers(random.Random(1))
+        found = ejection.OutlierDetector(random.Random(1))
         for number in range(10):
-            found.seen(f"s{number}", "i")
+            found.register(f"s{number}", "i")
         for number in range(100):
-            found.failed(f"s{number % 10}", 0)
-        self.assertLessEqual(len(found.ejected(1)), 3)
+            found.record_failure(f"s{number % 10}", 0)
+        self.assertLessEqual(len(found.ejected_servers(1)), 3)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -19,7 +19,7 @@
     """What is learned, and what is not."""
 
     def test_prior_holds_until_points_come(self) -> None:
-        self.assertEqual(7.0, _line().at(10))
+        self.assertEqual(7.0, _line().value_at(10))
 
     def test_line_lies_under_spoilt_points(self) -> None:
         """Half of all answers took far longer than their size explains."""
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -68,7 +68,7 @@
             turn = _turn(f"session-{n}", shared)
             server = placer.place(attempt, turn, servers, None, 50 * n)
             read.add((shared, server))
-            placer.settle(attempt, TurnReport(), 50 * n + 45)
+            placer.finish(attempt, TurnReport(), 50 * n + 45)
         self.assertLessEqual(len(read), 40)
 
     def test_session_stays_at_the_server_that_holds_its_prompt(self) -> None:
@@ -99,32 +99,32 @@
         first = placer.place("t", _turn("s"), servers, None, 0)
         again = placer.place("t", _turn("s"), servers, None, 700)
         self.assertEqual(first, again)
-        self.assertEqual(1, placer.running)
+        self.assertEqual(1, placer.running_turns)
 
     def test_turns_of_a_dead_gateway_expire(self) -> None:
         """Guards against servers that seem full of turns nobody runs."""
         placer, servers = _placer(), _servers()
         for n in range(50):
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, 0)
-        self.assertEqual(50, placer.running)
+        self.assertEqual(50, placer.running_turns)
         placer.place("late", _turn("late"), servers, None, 2 * _LEFT_MS)
-        self.assertEqual(1, placer.running)
+        self.assertEqual(1, placer.running_turns)
 
     def test_finish_of_an_unknown_turn_changes_nothing(self) -> None:
         """Guards against finishes of turns that another leader placed."""
         placer, servers = _placer(), _servers()
         placer.place("t", _turn("s"), servers, None, 0)
-        placer.settle("other", TurnReport(failed=["s1"]), 10)
-        self.assertEqual(1, placer.running)
+        placer.finish("other", TurnReport(failed=["s1"]), 10)
+        self.assertEqual(1, placer.running_turns)
 
     def test_server_that_fails_turns_gets_none_for_a_while(self) -> None:
         """Guards against a failing engine that always seems idle."""
         placer, servers = _placer(), _servers(4)
         failing = placer.place("t0", _turn("s"), servers, None, 0)
-        placer.settle("t0", TurnReport(failed=[failing]), 1)
+        placer.finish("t0", TurnReport(failed=[failing]), 1)
         again = placer.place("t1", _turn("s"), servers, None, 2)
         self.assertEqual(failing, again)
-        placer.settle("t1", TurnReport(failed=[failing]), 3)
+        placer.finish("t1", TurnReport(failed=[failing]), 3)
         chosen = {
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, 10)
             for n in range(2, 20)
@@ -137,8 +137,8 @@
         everyone = [one.id for one in servers]
         named = placer.place("t0", _turn("s"), servers, None, 0)
         others = [name for name in everyone if name != named]
-        placer.settle("t0", TurnReport(failed=others), 1)
-        placer.settle("t0", TurnReport(failed=others), 2)
+        placer.finish("t0", TurnReport(failed=others), 1)
+        placer.finish("t0", TurnReport(failed=others), 2)
         chosen = {
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, 10)
             for n in range(1, 40)
@@ -151,15 +151,15 @@
         for n in range(100):
             placer.place(f"t{n}", _turn("s"), servers, None, n)
             speed = EngineSpeed(1e9, -5.0, 1e9)
-            placer.settle(f"t{n}", TurnReport(speed=speed), n)
-        self.assertEqual(EngineSpeed(), placer.speed("models"))
+            placer.finish(f"t{n}", TurnReport(speed=speed), n)
+        self.assertEqual(EngineSpeed(), placer.reported_speed("models"))
 
     def test_new_leader_starts_without_placements(self) -> None:
         """Guards against counts of turns that ended under another leader."""
         placer, servers = _placer(), _servers()
         placer.place("t", _turn("s"), servers, None, 0)
         placer.reset()
-        self.assertEqual(0, placer.running)
+        self.assertEqual(0, placer.running_turns)
         self.assertTrue(placer.place("u", _turn("u"), servers, None, 1))
 
     def test_no_server_is_named_where_there_is_none(self) -> None:
@@ -183,7 +183,7 @@
         placer, servers = _placer(), _servers(2_400)
         for n in range(50):
             first = placer.place(f"a{n}", _turn(f"s{n}"), servers, None, n)
-            placer.settle(f"a{n}", TurnReport(), n)
+            placer.finish(f"a{n}", TurnReport(), n)
             again = placer.place(f"b{n}", _turn(f"s{n}"), servers, None, n)
             self.assertEqual(first, again)
 
@@ -201,11 +201,11 @@
     """Returns a list that grows by each server that is weighed."""
     weighed: list[str] = []
     balancer = placer._balancer
-    weigh = balancer._weigh
+    weigh = balancer._estimate
 
     def counted(instance: Instance, *args: Any) -> Any:
         weighed.append(instance.id)
         return weigh(instance, *args)
 
-    setattr(balancer, "_weigh", counted)  # noqa: B010
+    setattr(balancer, "_estimate", counted)  # noqa: B010
     return weighed
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -37,9 +37,9 @@
     for number in range(_PROGRAMS):
         program = f"p{number}"
         key = CallKey(account="a", program=program, request_id="1")
-        placed = assignment.Placed(key, servers.Server(report, seen_ms=0))
+        placed = assignment.Placed(key, servers.Server(report, reported_ms=0))
         caller = _entry(99, "ch-nord")
-        choice = assignment.choice_of(placed, caller, entries, priority=0)
+        choice = assignment.logged_choice(placed, caller, entries, priority=0)
         found[program] = choice.dispatcher
     return found
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -60,16 +60,16 @@
         self.jobs = self.scheduler()
 
     def scheduler(self, **plan: Any) -> scheduler.Scheduler:
-        prices = candidates.Prices()
+        prices = candidates.CostModel()
         return scheduler.Scheduler(
             self.view,
             candidates.by_cost(prices),
-            scheduler.WaitPlan(**plan),
-            candidates.keeps_home(prices),
+            scheduler.QueueOptions(**plan),
+            candidates.home_is_cheapest(prices),
         )
 
     def report(self, name: str, at_ms: int = 0, **fields: object) -> None:
-        self.view.report(_report(name, **fields), at_ms)
+        self.view.apply_report(_report(name, **fields), at_ms)
 
     def test_full_queue_refuses_at_once(self) -> None:
         """More callers come than servers and queue hold.
@@ -108,12 +108,12 @@
         for number in range(2):
             job = _job(f"p{number}", 4_000)
             self.assertIn(job.key.program, _places(self.jobs.submit(job, 0)))
-            self.jobs.ended(job.key, 1)
+            self.jobs.end_call(job.key, 1)
         new = _job("new", 4_000)
         self.assertEqual([], self.jobs.submit(new, 2))
         later = _job("p0", 4_200, turns=1, history_tokens=4_000)
         self.assertEqual({"p0": "a"}, _places(self.jobs.submit(later, 3)))
-        self.jobs.program_ended(_job("p1").key.program_key)
+        self.jobs.end_program(_job("p1").key.program_key)
         self.assertEqual({"new": "a"}, _places(self.jobs.tick(4)))
 
     def test_programs_that_never_end_leave_no_engine_idle(self) -> None:
@@ -125,7 +125,7 @@
         for number in range(2):
             job = _job(f"p{number}", 4_000)
             self.jobs.submit(job, 0)
-            self.jobs.ended(job.key, 1)
+            self.jobs.end_call(job.key, 1)
         self.assertEqual([], self.jobs.submit(_job("new", 4_000), 2))
         self.report("a", 1_500)
         self.assertEqual([], self.jobs.tick(1_900))
@@ -147,8 +147,8 @@
         placed = {}
         for number in range(3):
             job = _job(f"p{number}")
-            placed.update(_places(calls.ended(job.key, 1_100)))
-            calls.program_ended(job.key.program_key)
+            placed.update(_places(calls.end_call(job.key, 1_100)))
+            calls.end_program(job.key.program_key)
             placed.update(_places(calls.tick(1_100 + number)))
         self.assertEqual(["large", "small"], list(placed))
 
@@ -163,7 +163,7 @@
             "drained",
             5_000,
             deployment="one",
-            allowed=lambda report: report.server == "a",
+            is_allowed=lambda report: report.server == "a",
         )
         other = _job("other", 6_000, deployment="two")
         self.assertEqual([], self.jobs.submit(drained, 0))
@@ -193,7 +193,7 @@
         for number in range(4):
             job = _job(f"p{number}", 2_000)
             self.jobs.submit(job, 0)
-            self.jobs.ended(job.key, 1)
+            self.jobs.end_call(job.key, 1)
         for name in "bc":
             self.report(name, 5_000)
         found: list[str] = []
@@ -212,7 +212,7 @@
             self.jobs.submit(_job(f"p{number}", 2_000), 0)
         other = self.scheduler()
         self.assertEqual([], other.submit(_job("q", 2_000), 1))
-        self.jobs.stop()
+        self.jobs.release_all()
         self.assertEqual({"q": "a"}, _places(other.tick(2)))
 
     def test_prefix_counts_as_lost_after_two_reports(self) -> None:
@@ -223,7 +223,7 @@
         """
         job = _job("p0", 4_000)
         self.jobs.submit(job, 0)
-        self.jobs.ended(job.key, 1)
+        self.jobs.end_call(job.key, 1)
         key = job.key.program_key
         residents = self.view.servers["a"].residents
         self.report("a", 10, held=[])
@@ -255,8 +255,8 @@
             job = _job(f"short{number}", 400)
             self.jobs.submit(job, 0)
             usage = messages.Usage(prompt_tokens=100)
-            self.jobs.ended(job.key, 1, usage)
-            self.jobs.program_ended(job.key.program_key)
+            self.jobs.end_call(job.key, 1, usage)
+            self.jobs.end_program(job.key.program_key)
         for number in range(4):
             job = _job(f"p{number}", 8_000)
             self.assertIn(job.key.program, _places(self.jobs.submit(job, 2)))
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from catkinpin.core.placement.speeds import Speeds, Streamed
+from catkinpin.core.placement.speeds import Speeds, StreamTimings
 
 _TRUE = [
     # Tokens read in a ms, ms a generated token, ms more for each beside.
@@ -21,7 +21,7 @@
     rng: random.Random,
     true: tuple[float, float, float],
     factor: float = 1.0,
-) -> Streamed:
+) -> StreamTimings:
     """Returns an answer; some prompts were not held, or read in between."""
     per_ms, token_ms, beside_ms = true
     read = round(rng.lognormvariate(6.5, 0.7))
@@ -33,12 +33,14 @@
     ]
     spoilt = rng.uniform(20, 200) if rng.random() < 0.2 else 0.0
     first_ms = 20 + (read / per_ms + token_ms) * factor + spoilt
-    return Streamed(read, first_ms, gaps, beside, 0)
+    return StreamTimings(read, first_ms, gaps, beside, 0)
 
 
-def _learn(speeds: Speeds, answers: list[Streamed], server: str = "s1") -> None:
+def _learn(
+    speeds: Speeds, answers: list[StreamTimings], server: str = "s1"
+) -> None:
     for number, told in enumerate(answers):
-        speeds.streamed("models", server, 1, told, 100 * number)
+        speeds.record_stream("models", server, 1, told, 100 * number)
 
 
 class SpeedsTest(testtools.TestCase):
@@ -50,7 +52,7 @@
             rng = random.Random(3)
             speeds = Speeds()
             _learn(speeds, [_answer(rng, true) for _ in range(96)])
-            speed = speeds.engine("models")
+            speed = speeds.engine_speed("models")
             per_ms, token_ms, _ = true
             self.assertTrue(0.6 < speed.read_ms * per_ms < 1.6, speed)
             self.assertTrue(0.8 < speed.token_ms / token_ms < 1.25, speed)
@@ -60,7 +62,7 @@
         rng = random.Random(5)
         speeds = Speeds()
         _learn(speeds, [_answer(rng, _TRUE[0]) for _ in range(12)])
-        self.assertTrue(3.0 < speeds.engine("models").token_ms < 8.0)
+        self.assertTrue(3.0 < speeds.engine_speed("models").token_ms < 8.0)
 
     def test_slow_server_is_told_from_its_service(self) -> None:
         """One of four servers takes four times as long from now on.
@@ -74,11 +76,11 @@
             server = f"s{number % 4}"
             slow = server == "s0" and number >= 200
             told = _answer(rng, _TRUE[0], 4.0 if slow else 1.0)
-            speeds.streamed("models", server, 1, told, 50 * number)
+            speeds.record_stream("models", server, 1, told, 50 * number)
         now_ms = 50 * 400
-        self.assertTrue(speeds.factor("s0", now_ms) > 1.8)
-        self.assertTrue(0.7 < speeds.factor("s1", now_ms) < 1.3)
-        self.assertTrue(4.5 < speeds.engine("models").token_ms < 8.0)
+        self.assertTrue(speeds.slowdown("s0", now_ms) > 1.8)
+        self.assertTrue(0.7 < speeds.slowdown("s1", now_ms) < 1.3)
+        self.assertTrue(4.5 < speeds.engine_speed("models").token_ms < 8.0)
 
     def test_slow_server_gets_another_chance(self) -> None:
         """It has recovered, but gets too little work to show it."""
@@ -86,9 +88,9 @@
         speeds = Speeds()
         _learn(speeds, [_answer(rng, _TRUE[0]) for _ in range(50)], "s2")
         _learn(speeds, [_answer(rng, _TRUE[0], 4.0) for _ in range(30)])
-        before = speeds.factor("s1", 3_000)
+        before = speeds.slowdown("s1", 3_000)
         self.assertTrue(before > 1.5)
-        self.assertTrue(speeds.factor("s1", 23_000) < 1.2)
+        self.assertTrue(speeds.slowdown("s1", 23_000) < 1.2)
 
     def test_next_life_of_a_server_starts_anew(self) -> None:
         rng = random.Random(9)
@@ -96,27 +98,29 @@
         _learn(speeds, [_answer(rng, _TRUE[0]) for _ in range(50)], "s2")
         _learn(speeds, [_answer(rng, _TRUE[0], 4.0) for _ in range(30)])
         told = _answer(rng, _TRUE[0])
-        speeds.streamed("models", "s1", 2, told, 3_000)
-        self.assertTrue(speeds.factor("s1", 3_000) < 1.3)
+        speeds.record_stream("models", "s1", 2, told, 3_000)
+        self.assertTrue(speeds.slowdown("s1", 3_000) < 1.3)
 
     def test_absurd_times_move_nothing_beyond_its_bounds(self) -> None:
         """A clock stepped, a server tells gaps of a year or less than none."""
         speeds = Speeds()
         for number in range(96):
             gaps = [1e15 if number % 2 else -1e15] * 5
-            told = Streamed(10**12, -1e15, gaps, 10**6, 0)
-            speeds.streamed("models", "s1", 1, told, number)
-        speed = speeds.engine("models")
+            told = StreamTimings(10**12, -1e15, gaps, 10**6, 0)
+            speeds.record_stream("models", "s1", 1, told, number)
+        speed = speeds.engine_speed("models")
         self.assertTrue(0.001 <= speed.read_ms <= 1.0)
         self.assertTrue(0.05 <= speed.token_ms <= 100.0)
         self.assertTrue(0.0 <= speed.beside_ms <= 2.0)
-        self.assertTrue(0.25 <= speeds.factor("s1", 96) <= 4.0)
+        self.assertTrue(0.25 <= speeds.slowdown("s1", 96) <= 4.0)
 
     def test_plain_calls_are_known_by_route(self) -> None:
         """A route's calls take 200 ms, some hang for a minute."""
         speeds = Speeds()
         for number in range(200):
-            speeds.answered("slow", 60_000 if number % 20 == 0 else 200)
-            speeds.answered("fast", 20)
+            speeds.record_plain_call(
+                "slow", 60_000 if number % 20 == 0 else 200
+            )
+            speeds.record_plain_call("fast", 20)
         self.assertTrue(150 < speeds.plain_ms("slow") < 300)
         self.assertTrue(15 < speeds.plain_ms("fast") < 30)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -35,7 +35,7 @@
         text = "the grant needs a form and a deadline"
         for size in (1, 3, 5, 40):
             for cut in range(len(text)):
-                joined = splice.Splice()
+                joined = splice.StreamSplicer()
                 got = [joined.feed(e) for e in _words(text, 4)[:cut]]
                 joined.restart()
                 got += [joined.feed(e) for e in _words(text, size)]
@@ -51,7 +51,7 @@
             _words("other", 2),
             [*_words("te", 2), _event({}, "stop")],
         ):
-            joined = splice.Splice()
+            joined = splice.StreamSplicer()
             for event in _words("text", 2):
                 joined.feed(event)
             joined.restart()
@@ -66,7 +66,7 @@
             _event({"tool_calls": [{"index": 0, "function": {"arguments": p}}]})
             for p in parts
         ]
-        joined = splice.Splice()
+        joined = splice.StreamSplicer()
         got = [joined.feed(event) for event in events[:2]]
         joined.restart()
         got += [joined.feed(event) for event in events]
@@ -108,16 +108,16 @@
     """Patience with a silent stream follows the server's own pace."""
 
     def test_patience_lies_within_its_bounds(self) -> None:
-        known = pauses.Gaps(200, 5_000)
-        self.assertEqual(5_000, known.election_timeout_ms("unknown"))
+        known = pauses.GapEstimator(200, 5_000)
+        self.assertEqual(5_000, known.timeout_ms("unknown"))
         for gap, low, high in (
             (1, 200, 200),
             (26, 200, 400),
             (9_000, 5_000, 5_000),
         ):
             for _ in range(60):
-                known.note(f"s{gap}", gap)
-            patience = known.election_timeout_ms(f"s{gap}")
+                known.record_gap(f"s{gap}", gap)
+            patience = known.timeout_ms(f"s{gap}")
             self.assertTrue(low <= patience <= high, (gap, patience))
 
 
--- a/tests/test_unresponsive.py
+++ b/tests/test_unresponsive.py
@@ -13,9 +13,9 @@
 from catkinpin.core.placement.balance import Balancer
 from catkinpin.core.placement.speeds import Speeds
 from catkinpin.core.placement.unresponsive import (
+    PendingCalls,
     UnresponsiveServers,
-    WaitingCalls,
-    leave_out,
+    eject_unresponsive,
 )
 from catkinpin.core.requests.calls import RouteCall
 from tests import base
@@ -29,18 +29,18 @@
 
     def test_server_is_unresponsive_while_a_call_is_overdue(self) -> None:
         """Guards against calls to a server that has one hanging already."""
-        waiting = WaitingCalls()
-        waiting.sent("c1", "s1", 50.0, 0)
-        self.assertEqual(set(), waiting.unresponsive(300))
-        self.assertEqual({"s1"}, waiting.unresponsive(400))
-        waiting.ended("c1")
-        self.assertEqual(set(), waiting.unresponsive(400))
+        waiting = PendingCalls()
+        waiting.add("c1", "s1", 50.0, 0)
+        self.assertEqual(set(), waiting.overdue_servers(300))
+        self.assertEqual({"s1"}, waiting.overdue_servers(400))
+        waiting.remove("c1")
+        self.assertEqual(set(), waiting.overdue_servers(400))
 
     def test_slow_route_is_given_its_time(self) -> None:
         """Guards against servers left out for calls that always take long."""
-        waiting = WaitingCalls()
-        waiting.sent("c1", "s1", 400.0, 0)
-        self.assertEqual(set(), waiting.unresponsive(1_000))
+        waiting = PendingCalls()
+        waiting.add("c1", "s1", 400.0, 0)
+        self.assertEqual(set(), waiting.overdue_servers(1_000))
 
 
 class UnresponsiveServersTest(base.TestCase):
@@ -50,21 +50,21 @@
         """Guards against a gateway whose own connections are broken."""
         unresponsive = UnresponsiveServers()
         unresponsive.report("g1", ["s1"], 0)
-        self.assertEqual([], unresponsive.known(50, 0))
+        self.assertEqual([], unresponsive.confirmed(50, 0))
         unresponsive.report("g2", ["s1"], 100)
-        self.assertEqual(["s1"], unresponsive.known(50, 100))
+        self.assertEqual(["s1"], unresponsive.confirmed(50, 100))
 
     def test_single_gateway_is_believed(self) -> None:
         unresponsive = UnresponsiveServers()
         unresponsive.report("g1", ["s1"], 0)
-        self.assertEqual(["s1"], unresponsive.known(1, 0))
+        self.assertEqual(["s1"], unresponsive.confirmed(1, 0))
 
     def test_old_reports_count_no_more(self) -> None:
         """Guards against servers left out long after they are well."""
         unresponsive = UnresponsiveServers()
         unresponsive.report("g1", ["s1"], 0)
         unresponsive.report("g2", ["s1"], 0)
-        self.assertEqual([], unresponsive.known(50, 3_000))
+        self.assertEqual([], unresponsive.confirmed(50, 3_000))
 
 
 class LeaveOutTest(base.TestCase):
@@ -76,11 +76,13 @@
         rng = random.Random(1)
         self.balancer = Balancer("a", {"a": "r"}, rng, Speeds())
         for server in self.servers:
-            self.balancer.sent(server, RouteCall(attempt="c"))
+            self.balancer.record_sent(server, RouteCall(attempt="c"))
 
     def _leave_out(self, *found: str, now_ms: int = 0) -> set[str]:
-        leave_out(self.balancer, found, self.servers, now_ms, now_ms + 500)
-        return set(self.balancer.left_out(self.servers, now_ms))
+        eject_unresponsive(
+            self.balancer, found, self.servers, now_ms, now_ms + 500
+        )
+        return set(self.balancer.ejected_servers(self.servers, now_ms))
 
     def test_half_of_a_service_may_hang(self) -> None:
         """Guards against calls lost at servers that are known to hang."""
@@ -139,6 +141,6 @@
         servers = [instance("s1"), instance("s2")]
         call = RouteCall(attempt="c")
         for server in servers:
-            balancer.sent(server, call)
-            balancer.avoid(server.id, 1_000)
+            balancer.record_sent(server, call)
+            balancer.eject_until(server.id, 1_000)
         self.assertIsNotNone(balancer.pick(servers, call, 0))
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -121,34 +121,44 @@
     def test_programs_under_way_go_before_fresh_and_late_ones(self) -> None:
         """Four programs wait: under way, fresh, behind, and past any use."""
         ranks = [
-            urgency.of_turn(
+            urgency.turn_urgency(
                 ProgramStatus(
                     allowed_ms=1_000, elapsed_ms=700, lost_ms=9, turns=2
                 )
             ),
-            urgency.of_turn(ProgramStatus(allowed_ms=1_000, elapsed_ms=10)),
-            urgency.of_turn(
+            urgency.turn_urgency(
+                ProgramStatus(allowed_ms=1_000, elapsed_ms=10)
+            ),
+            urgency.turn_urgency(
                 ProgramStatus(
                     allowed_ms=1_000, elapsed_ms=700, lost_ms=500, turns=2
                 )
             ),
-            urgency.of_turn(ProgramStatus(allowed_ms=1_000, elapsed_ms=2_100)),
+            urgency.turn_urgency(
+                ProgramStatus(allowed_ms=1_000, elapsed_ms=2_100)
+            ),
         ]
         self.assertEqual(sorted(ranks), ranks)
         self.assertEqual(4, len(set(ranks)))
-        self.assertEqual(urgency.USUAL, urgency.of_turn(ProgramStatus()))
+        self.assertEqual(
+            urgency.URGENCY_DEFAULT, urgency.turn_urgency(ProgramStatus())
+        )
 
     def test_late_program_is_behind_whatever_it_lost(self) -> None:
         """Its tools took long; its turns lost nothing."""
         program_status = ProgramStatus(
             allowed_ms=1_000, elapsed_ms=1_100, turns=3
         )
-        self.assertEqual(urgency.BEHIND, urgency.of_turn(program_status))
+        self.assertEqual(
+            urgency.URGENCY_LATE, urgency.turn_urgency(program_status)
+        )
 
     def test_fresh_program_that_was_refused_for_long_is_behind(self) -> None:
         """Its first turn was sent again and again until its slack was gone."""
         program_status = ProgramStatus(allowed_ms=1_000, elapsed_ms=500)
-        self.assertEqual(urgency.BEHIND, urgency.of_turn(program_status))
+        self.assertEqual(
+            urgency.URGENCY_LATE, urgency.turn_urgency(program_status)
+        )
 
     def test_burst_leaves_more_programs_in_time(self) -> None:
         """For 6 s programs come at 1.4 to 1.8 times what the slots can serve.
@@ -159,7 +169,7 @@
         for over in (1.4, 1.8):
             for allowed_x in (1.5, 1.8, 2.2):
                 alike = _in_time(_all_alike, over, allowed_x)
-                ranked = _in_time(urgency.of_turn, over, allowed_x)
+                ranked = _in_time(urgency.turn_urgency, over, allowed_x)
                 self.assertGreater(ranked, 1.1 * alike, (over, allowed_x))
 
     def test_lost_time_is_what_an_idle_server_would_not_have_taken(
