--- a/catkinpin/core/placement/balance.py
+++ b/catkinpin/core/placement/balance.py
@@ -1,21 +1,22 @@
-"""Which server a gateway sends a request to.
-
-Each gateway decides by itself, from what its own requests brought back: the
-load that servers tell in their answers, how fast they are, what it has sent
-since, which prompt parts it has sent where, and which servers failed. It
-answers two patterns.
-
-Long shared prompts: all answers that run on an engine wait while it reads one.
-So what a request costs the others counts like what it costs itself: a request
-goes where its parts were read, unless the queue there is worse than reading
-them again for all. Weighed by its own latency alone, work spreads under load,
-more is read, and every answer gets slower.
-
-Many gateways that decide at once: a load report is old when it
-is used. Picking the least loaded would send all gateways to the same server.
-So what we sent since counts on top, and near ties are drawn by lot. A server
-without a recent load report is taken to be as busy as the others are:
-taken for idle, it would draw sessions away from where their prompts lie.
+"""Selects the server to which a gateway sends a request.
+
+Each gateway decides independently, from its own requests: the load that
+servers report with their answers, their speed, the requests sent since the
+last report, the prompt parts sent to each server, and failures.
+
+Long shared prompts: while an engine prefills a prompt, all answers that it
+generates wait. The cost of a request therefore includes the delay that it
+causes to other requests. A request goes to the server that has cached its
+prompt, unless the queue there costs more than another prefill. If only the
+request's own latency counted, load would spread requests over the servers,
+prefills would multiply and every answer would become slower.
+
+Many gateways that decide at the same time: load reports are out of date when
+they are used, and choosing the least loaded server would send all gateways to
+the same one. The balancer therefore adds the requests that it has sent since
+the report, and chooses at random between servers of nearly equal cost. For a
+server without a recent report it assumes the mean load of the others; assumed
+idle, it would attract sessions away from the servers with their prompts.
 """
 
 from __future__ import annotations
@@ -36,49 +37,50 @@
     from catkinpin.core.placement.speeds import EngineSpeed, Speeds
     from catkinpin.core.requests.calls import Load, PromptPart, RouteCall
 
-# Answers come to about half of the most that they may generate.
-_EXPECTED_TOKENS_SHARE = 0.5
-# Of a plain call's time, what a server that had the same session saves.
-_AFFINITY_SHARE = 0.5
-# What a ms of reading costs each request beside it, in ms: that one, and more
-# for the requests that come until the engine has made up for it.
-_READING_WEIGHT = 3.0
-# Way to a server in another failure domain of the region, and in another
-# region, there and back, in ms. Bytes between regions cost besides.
-_DOMAIN_MS = 3.0
-_REGION_MS = 24.0
+# Answers use about half of their max_tokens.
+_EXPECTED_OUTPUT_SHARE = 0.5
+# Share of a plain call's time saved by a server that knows its session.
+_AFFINITY_SAVED_SHARE = 0.5
+# Delay in ms that each ms of prefill causes to every concurrent request. Above
+# 1, because requests that arrive until the engine has caught up wait as well.
+_PREFILL_DELAY_WEIGHT = 3.0
+# Round trip to a server in another failure domain of the region, and to one in
+# another region. The latter includes the cost of the bytes transferred.
+_CROSS_DOMAIN_MS = 3.0
+_CROSS_REGION_MS = 24.0
 # Load reports older than this are ignored.
-_LOAD_OLD_MS = 1_500
-# Of a server's slots. Beyond it, a turn that gains nobody anything any more
-# would slow many that can still be in time.
-_BUSY_SHARE = 0.5
-# Of the others' load, what a server that never reported is taken to have:
-# it may have just come, or this gateway has.
-_UNKNOWN_SHARE = 0.5
-# No server runs, or has waiting, as many requests as this.
-_MAX_REPORTED = 100_000
-# Costs this near are drawn by lot.
-_TIE_MS = 2.0
-# Prompt parts remembered per server; some 40 bytes each.
-_MAX_PARTS = 2_000
-# A server that failed gets nothing for this long, doubled each time in a row.
-_EJECT_MS = 400
+_MAX_LOAD_AGE_MS = 1_500
+# Share of used slots from which a server is busy. On a busy server, a turn
+# whose program has expired would slow down turns that can still be in time.
+_BUSY_SLOT_SHARE = 0.5
+# Load assumed for a server that never reported, as a share of the mean load of
+# the others: the server or this gateway may have just started.
+_UNREPORTED_SHARE = 0.5
+# Reports of more running or waiting requests than this are rejected.
+_MAX_REQUESTS = 100_000
+# Among costs within this margin of the lowest, one is chosen at random.
+_TIE_MARGIN_MS = 2.0
+# Prompt parts remembered per server, about 40 bytes each.
+_MAX_PROMPT_PARTS = 2_000
+# Length of the first ejection of a server, doubled with each consecutive
+# ejection up to the maximum.
+_EJECT_BASE_MS = 400
 _MAX_EJECT_MS = 6_000
-# Failures by silence or reset within the window that eject a server.
-_FAILURES = 2
+# Timeouts or connection resets within the window that eject a server.
+_FAILURES_TO_EJECT = 2
 _FAILURE_WINDOW_MS = 3_000
 
 
 @dataclasses.dataclass
 class TrackedServer:
-    """What is known of one incarnation of a server.
+    """State that a gateway keeps for one incarnation of a server.
 
     Attributes:
-        id: the same for all of its incarnations.
-        started_ms: start of this incarnation.
-        sent: requests under way there from here.
-        since: requests sent from here since its last load report.
-        parts: prompt parts that it has read, oldest use first.
+        id: Identity, the same for all incarnations of the server.
+        started_ms: Start of this incarnation.
+        in_flight: Requests of this gateway that the server has not finished.
+        sent_since_report: Requests of this gateway since the last load report.
+        prompt_parts: IDs of processed prompt parts, least recently used first.
     """
 
     id: str
@@ -98,14 +100,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Choice:
-    """A server and why it was picked, for the log.
+    """A selected server, with the estimates behind the choice for the log.
 
     Attributes:
-        cost_ms: what was expected when it was picked, for it and for others.
-        cached_tokens: of the prompt, believed to be held there.
-        load_age_ms: age of the load that was used, -1 for none.
-        running: requests believed to run and wait there.
-        speed: of the server, as it was learned; None for a plain service.
+        cost_ms: Estimated cost to the request and to concurrent requests.
+        cached_tokens: Prompt tokens that the server is assumed to have cached.
+        load_age_ms: Age of the load report that was used, -1 for none.
+        running: Estimated number of running and waiting requests.
+        speed: Learned speed of the server; None for a plain service.
     """
 
     instance: Instance
@@ -118,12 +120,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class WorkEstimate:
-    """What a request takes at one server, in ms.
+    """Estimated processing time of a request at one server.
 
     Attributes:
-        read: reading of its prompt, for which all others wait.
-        alone: the rest, where nothing runs beside it.
-        beside: what each request beside it adds to that, and it to theirs.
+        prefill_ms: Prefill of its prompt, during which other requests wait.
+        idle_ms: The remaining time on an otherwise idle server.
+        per_concurrent_ms: Time that each concurrent request adds to the
+            remaining time, and that this request adds to theirs.
     """
 
     prefill_ms: float
@@ -131,19 +134,19 @@
     per_concurrent_ms: float
 
     def run_ms(self, running: int) -> float:
-        """Returns how long the rest takes beside others."""
+        """Returns the time after prefill beside `running` other requests."""
         return self.idle_ms + self.per_concurrent_ms * running
 
 
 class Balancer:
-    """Picks servers for one gateway.
+    """Selects servers for the requests of one gateway.
 
     Args:
-        domain: failure domain of this gateway.
-        regions: region of each failure domain.
-        rng: draws near ties.
-        speeds: of the servers, as far as known here.
-        region_cost_ms: weight of a server in another region.
+        domain: Failure domain of this gateway.
+        regions: Region of each failure domain.
+        rng: Random generator that breaks ties.
+        speeds: Learned speeds of the servers.
+        region_cost_ms: Cost of using a server in another region.
     """
 
     def __init__(
@@ -152,7 +155,7 @@
         regions: dict[str, str],
         rng: random.Random,
         speeds: Speeds,
-        region_cost_ms: float = _REGION_MS,
+        region_cost_ms: float = _CROSS_REGION_MS,
     ) -> None:
         self._domain = domain
         self._regions = regions
@@ -173,15 +176,15 @@
         route: str = "",
         domain: str = "",
     ) -> Choice | None:
-        """Returns the server for a request, None where there is none.
+        """Returns the server for a request, or None if no server is ready.
 
         Args:
-            servers: of the service.
-            call: the request.
-            now_ms: monotonic time.
-            avoid: servers that this request was sent to already.
-            route: its name; plain calls of one take about the same time.
-            domain: failure domain that the request comes from; empty: ours.
+            servers: Servers of the service.
+            call: The request.
+            now_ms: Monotonic time.
+            avoid: IDs of the servers to which the request was already sent.
+            route: Name of the route; its plain calls take similar times.
+            domain: Failure domain of the request; empty for the gateway's.
         """
         listed = shortlist(servers, call.prompt, self._cached_parts, self._rng)
         ready = [
@@ -189,32 +192,34 @@
             for one in listed
             if one.state is ServerState.READY and one.id not in avoid
         ]
-        fit = [one for one in ready if not self._is_ejected(one, now_ms)]
-        # If all failed, the fault may be ours or on the way: try them anyway.
-        fit = fit or ready
-        usual = self._usual_load(fit, now_ms)
+        usable = [one for one in ready if not self._is_ejected(one, now_ms)]
+        # If all are ejected, this gateway or the network may be at fault.
+        usable = usable or ready
+        mean_load = self._mean_load(usable, now_ms)
         origin = domain or self._domain
-        found = [
-            self._estimate(one, call, route, now_ms, usual, origin)
-            for one in fit
+        choices = [
+            self._estimate(one, call, route, now_ms, mean_load, origin)
+            for one in usable
         ]
-        if not found:
+        if not choices:
             return None
-        least = min(choice.cost_ms for choice in found)
-        near = [c for c in found if c.cost_ms <= least + _TIE_MS]
-        return self._rng.choice(near)
+        lowest_ms = min(choice.cost_ms for choice in choices)
+        tied = [c for c in choices if c.cost_ms <= lowest_ms + _TIE_MARGIN_MS]
+        return self._rng.choice(tied)
 
     def estimate(
         self, instance: Instance, call: RouteCall, now_ms: int
     ) -> Choice | None:
-        """Returns a choice that was made elsewhere; None if it is ejected."""
+        """Returns the estimate for a given server, or None if it is ejected."""
         if self._is_ejected(instance, now_ms):
             return None
-        usual = self._usual_load([instance], now_ms)
-        return self._estimate(instance, call, "", now_ms, usual, self._domain)
+        mean_load = self._mean_load([instance], now_ms)
+        return self._estimate(
+            instance, call, "", now_ms, mean_load, self._domain
+        )
 
     def record_sent(self, instance: Instance, call: RouteCall) -> None:
-        """Notes that a request goes to a server."""
+        """Records that a request is sent to a server."""
         server = self._tracked(instance)
         server.in_flight += 1
         server.sent_since_report += 1
@@ -222,22 +227,22 @@
         if call.affinity:
             self._affinity[call.affinity] = instance.id
             self._affinity.move_to_end(call.affinity)
-            while len(self._affinity) > _MAX_PARTS:
+            while len(self._affinity) > _MAX_PROMPT_PARTS:
                 self._affinity.popitem(last=False)
 
     def record_prompt(
         self, instance: Instance, prompt: Iterable[PromptPart]
     ) -> None:
-        """Notes the prompt parts that a server holds from now on."""
+        """Records the prompt parts that a server has now cached."""
         parts = self._tracked(instance).prompt_parts
         for part in prompt:
             parts[part.id] = None
             parts.move_to_end(part.id)
-        while len(parts) > _MAX_PARTS:
+        while len(parts) > _MAX_PROMPT_PARTS:
             parts.popitem(last=False)
 
     def record_ended(self, instance: Instance) -> None:
-        """Notes that a request is no longer under way."""
+        """Records that a request is no longer in flight."""
         server = self._tracked(instance)
         server.in_flight = max(0, server.in_flight - 1)
 
@@ -245,7 +250,7 @@
         """Records the load that a server reported with an answer.
 
         Returns:
-            Whether it can be true; an absurd one changes nothing.
+            Whether the load is plausible; an implausible one is ignored.
         """
         if not _is_plausible(load):
             return False
@@ -256,7 +261,7 @@
         return True
 
     def record_success(self, instance: Instance) -> None:
-        """Notes an answer."""
+        """Records a successful answer, which resets the failure counts."""
         server = self._tracked(instance)
         server.failures = 0
         server.ejections = 0
@@ -264,28 +269,29 @@
     def record_failure(
         self, instance: Instance, now_ms: int, *, immediate: bool
     ) -> bool:
-        """Notes a failure; returns whether the server is ejected by it.
+        """Records a failure and returns whether it ejects the server.
 
         Args:
-            instance: the server.
-            now_ms: monotonic time.
-            immediate: whether the server can't be reached at all.
+            instance: The server.
+            now_ms: Monotonic time.
+            immediate: Whether this failure alone is enough to eject it, as
+                when the server cannot be reached at all.
         """
         server = self._tracked(instance)
         if now_ms - server.failed_at_ms > _FAILURE_WINDOW_MS:
             server.failures = 0
         server.failed_at_ms = now_ms
         server.failures += 1
-        if not immediate and server.failures < _FAILURES:
+        if not immediate and server.failures < _FAILURES_TO_EJECT:
             return False
-        wait = min(_MAX_EJECT_MS, _EJECT_MS << min(server.ejections, 5))
+        wait_ms = min(_MAX_EJECT_MS, _EJECT_BASE_MS << min(server.ejections, 5))
         server.ejections += 1
-        server.ejected_until_ms = now_ms + wait
+        server.ejected_until_ms = now_ms + wait_ms
         server.prompt_parts.clear()
         return True
 
     def eject_until(self, server: str, until_ms: int) -> None:
-        """Leaves a server out for a while, without a failure of ours."""
+        """Ejects a server for reasons other than failures seen here."""
         known = self._servers.get(server)
         if known is not None:
             known.ejected_until_ms = max(known.ejected_until_ms, until_ms)
@@ -293,24 +299,24 @@
     def ejected_servers(
         self, servers: Iterable[Instance], now_ms: int
     ) -> frozenset[str]:
-        """Returns which servers get nothing now."""
+        """Returns the IDs of those servers that are ejected now."""
         out = (one.id for one in servers if self._is_ejected(one, now_ms))
         return frozenset(out)
 
     def forget(self, server: str) -> None:
-        """Forgets a server that is gone."""
+        """Removes the state of a server that is gone."""
         self._servers.pop(server, None)
         self._speeds.forget(server)
 
     def used_slot_share(self, instance: Instance, now_ms: int) -> float:
-        """Returns the part of a server's slots that seems taken."""
+        """Returns the estimated share of a server's slots in use."""
         server = self._tracked(instance)
         slots = self._slots(instance, server)
         return self._running_estimate(server, now_ms) / slots
 
     def is_busy(self, instance: Instance, now_ms: int) -> bool:
-        """Returns whether one more request would make others late."""
-        return self.used_slot_share(instance, now_ms) >= _BUSY_SHARE
+        """Returns whether one more request would delay the others."""
+        return self.used_slot_share(instance, now_ms) >= _BUSY_SLOT_SHARE
 
     def _is_ejected(self, instance: Instance, now_ms: int) -> bool:
         return self._tracked(instance).ejected_until_ms > now_ms
@@ -328,7 +334,7 @@
         call: RouteCall,
         route: str,
         now_ms: int,
-        usual: float,
+        mean_load: float,
         origin: str,
     ) -> Choice:
         server = self._tracked(instance)
@@ -338,41 +344,47 @@
         slots = self._slots(instance, server)
         running = self._running_estimate(server, now_ms)
         if not self._is_fresh(server, now_ms):
-            part = usual if server.load is not None else usual * _UNKNOWN_SHARE
-            running = max(running, round(part * slots))
-        beside = min(running, slots - 1)
+            share = (
+                mean_load
+                if server.load is not None
+                else mean_load * _UNREPORTED_SHARE
+            )
+            running = max(running, round(share * slots))
+        concurrent = min(running, slots - 1)
         queued = max(0, running + 1 - slots)
-        wait = queued * work.run_ms(slots) / slots
-        own = (
-            wait
+        wait_ms = queued * work.run_ms(slots) / slots
+        own_ms = (
+            wait_ms
             + work.prefill_ms
-            + work.run_ms(beside)
+            + work.run_ms(concurrent)
             + self._delay_ms(instance, origin)
         )
-        cost = own + self._cost_to_others_ms(work, beside, queued, slots)
+        cost_ms = own_ms + self._cost_to_others_ms(
+            work, concurrent, queued, slots
+        )
         if call.affinity and self._affinity.get(call.affinity) == instance.id:
-            cost -= self._speeds.plain_ms(route) * _AFFINITY_SHARE
+            cost_ms -= self._speeds.plain_ms(route) * _AFFINITY_SAVED_SHARE
         age = (
             now_ms - server.load_reported_ms if server.load is not None else -1
         )
-        return Choice(instance, cost, cached, age, running, speed)
+        return Choice(instance, cost_ms, cached, age, running, speed)
 
     def _cost_to_others_ms(
-        self, work: WorkEstimate, beside: int, queued: int, slots: int
+        self, work: WorkEstimate, concurrent: int, queued: int, slots: int
     ) -> float:
-        """Returns what a request costs those that run and wait there."""
-        waiting = queued * (work.prefill_ms + work.run_ms(beside)) / slots
-        reading = work.prefill_ms * _READING_WEIGHT
-        return beside * (reading + work.per_concurrent_ms) + waiting
+        """Returns the delay that a request causes to other requests."""
+        queue_ms = queued * (work.prefill_ms + work.run_ms(concurrent)) / slots
+        prefill_ms = work.prefill_ms * _PREFILL_DELAY_WEIGHT
+        return concurrent * (prefill_ms + work.per_concurrent_ms) + queue_ms
 
     def _speed(
         self, instance: Instance, call: RouteCall, now_ms: int
     ) -> EngineSpeed | None:
-        """Returns how fast a model server is, None for a plain service."""
+        """Returns the speed of a model server, None for a plain service."""
         if not call.max_tokens:
             return None
-        usual = self._speeds.engine_speed(instance.service)
-        return usual.scaled(self._speeds.slowdown(instance.id, now_ms))
+        typical = self._speeds.engine_speed(instance.service)
+        return typical.scaled(self._speeds.slowdown(instance.id, now_ms))
 
     def _work(
         self,
@@ -381,20 +393,20 @@
         cached: int,
         speed: EngineSpeed | None,
     ) -> WorkEstimate:
-        """Returns what a request takes at a server."""
+        """Returns the processing time of a request at a server."""
         if speed is None:
             plain_ms = self._speeds.plain_ms(route)
             return WorkEstimate(0.0, plain_ms, speeds.plain_beside_ms(plain_ms))
-        wanted = sum(part.tokens for part in call.prompt)
-        tokens = call.max_tokens * _EXPECTED_TOKENS_SHARE
+        prompt_tokens = sum(part.tokens for part in call.prompt)
+        tokens = call.max_tokens * _EXPECTED_OUTPUT_SHARE
         return WorkEstimate(
-            (wanted - cached) * speed.read_ms,
+            (prompt_tokens - cached) * speed.read_ms,
             tokens * speed.token_ms,
             tokens * speed.beside_ms,
         )
 
-    def _usual_load(self, servers: list[Instance], now_ms: int) -> float:
-        """Returns the mean part of slots taken, where it is known."""
+    def _mean_load(self, servers: list[Instance], now_ms: int) -> float:
+        """Returns the mean share of used slots of recently reported servers."""
         known = [
             self.used_slot_share(one, now_ms)
             for one in servers
@@ -406,17 +418,17 @@
         load = server.load
         if load is None or not self._is_fresh(server, now_ms):
             return server.in_flight
-        report_load = load.running + load.waiting + server.sent_since_report
-        return max(server.in_flight, report_load)
+        reported = load.running + load.waiting + server.sent_since_report
+        return max(server.in_flight, reported)
 
     def _is_fresh(self, server: TrackedServer, now_ms: int) -> bool:
         """Returns whether a server's load report is recent enough."""
         return server.load is not None and (
-            now_ms - server.load_reported_ms <= _LOAD_OLD_MS
+            now_ms - server.load_reported_ms <= _MAX_LOAD_AGE_MS
         )
 
     def _cached_parts(self, server: str) -> Container[str]:
-        """Returns the prompt parts that a server seems to hold."""
+        """Returns the prompt parts that a server is assumed to have cached."""
         known = self._servers.get(server)
         return known.prompt_parts if known is not None else ()
 
@@ -427,12 +439,12 @@
     def _delay_ms(self, instance: Instance, origin: str) -> float:
         if instance.domain == origin:
             return 0.0
-        ours = self._regions.get(origin, "")
-        if self._regions.get(instance.domain, "") == ours:
-            return _DOMAIN_MS
+        from_region = self._regions.get(origin, "")
+        if self._regions.get(instance.domain, "") == from_region:
+            return _CROSS_DOMAIN_MS
         return self._region_cost_ms
 
 
 def _is_plausible(load: Load) -> bool:
     counts = (load.running, load.waiting, load.slots)
-    return all(0 <= n <= _MAX_REPORTED for n in counts) and load.slots > 0
+    return all(0 <= n <= _MAX_REQUESTS for n in counts) and load.slots > 0
--- a/catkinpin/core/placement/candidates.py
+++ b/catkinpin/core/placement/candidates.py
@@ -1,4 +1,4 @@
-"""Choice of a server for a call: plain functions over a view."""
+"""Policies that choose a server for a call, and their cost model."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
     from catkinpin.core.placement.jobs import Job
     from catkinpin.core.placement.servers import Server
 
-# Costs are worked out for so many servers at most.
-# The full time is held once one in so many slots is taken.
-_FULL_HOLD = 4
+# Memory is reserved for the full hold time once one in so many slots is used;
+# below that, the hold time shrinks in proportion to the load.
+_SLOTS_PER_CALL_FOR_FULL_HOLD = 4
+# Limit of the servers for which costs are computed.
 _MAX_CANDIDATES = 32
 
 Policy = Callable[["Job", list["Server"], int], "Server | None"]
@@ -23,22 +24,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class CostModel:
-    """What a choice assumes of engines and links; all times in milliseconds.
+    """Assumptions about engines and links behind the estimated costs.
 
     Attributes:
-        prefill_per_ms: tokens an engine computes in a millisecond.
-        recompute: weight of computing history again; it wastes memory that
-            holds it elsewhere, and the reason to move may pass.
-        gap_per_call_ms: what a further call adds to the time between tokens.
-        output_tokens: tokens that a call is expected to generate.
-        region_ms: delay of a call and its answer between regions.
-        link_bytes_per_ms: what the link between regions carries.
-        text_bytes: bytes of a token's text on the link.
-        fill: share of an engine's cache that active programs may fill.
-        memory_ms: price of a place in a cache that is full already.
-        hold_ms: a program that has paused for longer is not active; on a
-            server with few running calls a part of this is enough.
-        min_hold_ms: no shorter pause costs a program its room.
+        prefill_tokens_per_ms: Tokens that an engine prefills per millisecond.
+        recompute_weight: Weight of prefilling history again. It is above 1
+            because the copy cached elsewhere wastes memory, and because the
+            reason to move may be temporary.
+        gap_per_call_ms: Time between tokens that each running call adds.
+        expected_output_tokens: Tokens that a call is expected to generate.
+        region_delay_ms: Network delay of a call and its answer between regions.
+        link_bytes_per_ms: Bandwidth of the link between regions.
+        bytes_per_token: Size of a token's text on the link.
+        max_active_share: Share of an engine's cache that active programs may
+            use.
+        full_cache_ms: Cost for a new program if active programs use the whole
+            cache; it is proportional to the used share.
+        max_hold_ms: Pause after which a program is no longer active; shorter
+            on a server with few running calls.
+        min_hold_ms: Lower bound of that pause.
     """
 
     prefill_tokens_per_ms: float = 10.0
@@ -56,13 +60,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What a server would cost a call, in milliseconds.
+    """Estimated cost of a call on a server.
 
     Attributes:
-        wait: slower tokens and waiting beside the running calls.
-        prefill: computing what the server does not hold.
-        transfer: delay and bytes between regions.
-        fits: whether a slot and memory are free for it.
+        wait_ms: Delay by the running calls and by a full cache.
+        prefill_ms: Prefill of the tokens that the server has not cached.
+        transfer_ms: Network delay and transfer time between regions.
+        fits: Whether the server has a free slot and enough memory.
     """
 
     server: Server
@@ -73,7 +77,7 @@
 
     @property
     def total_ms(self) -> float:
-        """All together."""
+        """Sum of the costs."""
         return self.wait_ms + self.prefill_ms + self.transfer_ms
 
 
@@ -84,66 +88,66 @@
     job: Job,
     servers: list[Server],
     now_ms: int,
-    prices: CostModel,
-    share: float = 1.0,
+    model: CostModel,
+    cache_share: float = 1.0,
 ) -> list[Cost]:
-    """Returns what each server would cost, the cheapest first.
+    """Returns the cost of a call on each server, the cheapest first.
 
     Args:
-        job: the call.
-        servers: those that may get it.
-        now_ms: monotonic time.
-        prices: what to assume of engines and links.
-        share: part of each cache that this process may fill; other leaders'
-            programs, unseen here, fill the rest.
+        job: The call.
+        servers: The candidate servers.
+        now_ms: Monotonic time.
+        model: The cost model.
+        cache_share: Share of each cache that this process may use; programs
+            of other leaders, which are not visible here, use the rest.
     """
-    found = [_cost(job, one, now_ms, prices, share) for one in servers]
+    costs = [_cost(job, one, now_ms, model, cache_share) for one in servers]
     return sorted(
-        found, key=lambda cost: (cost.total_ms, cost.server.report.server)
+        costs, key=lambda cost: (cost.total_ms, cost.server.report.server)
     )
 
 
 def by_cost(
-    prices: CostModel,
-    share: Callable[[], float] = lambda: 1.0,
+    model: CostModel,
+    cache_share: Callable[[], float] = lambda: 1.0,
     observe: CostObserver = lambda *_: None,
 ) -> Policy:
-    """Returns the policy that takes the cheapest server with room.
+    """Returns a policy that chooses the cheapest server with free capacity.
 
     Args:
-        prices: what to assume of engines and links.
-        share: see `server_costs`.
-        observe: called with each decision.
+        model: The cost model.
+        cache_share: Returns the share described at `server_costs`.
+        observe: Called with each decision.
     """
 
     def choose(job: Job, servers: list[Server], now_ms: int) -> Server | None:
-        few = sample_servers(job, servers, now_ms)
-        found = server_costs(job, few, now_ms, prices, share())
-        fitting = (cost.server for cost in found if cost.fits)
+        sampled = sample_servers(job, servers, now_ms)
+        costs = server_costs(job, sampled, now_ms, model, cache_share())
+        fitting = (cost.server for cost in costs if cost.fits)
         chosen = next(fitting, None)
-        observe(job, found, chosen, now_ms)
+        observe(job, costs, chosen, now_ms)
         return chosen
 
     return choose
 
 
 def home_is_cheapest(
-    prices: CostModel, share: Callable[[], float] = lambda: 1.0
+    model: CostModel, cache_share: Callable[[], float] = lambda: 1.0
 ) -> Callable[[Job, Server, int], bool]:
-    """Returns a check whether no other server can cost a call less."""
+    """Returns a predicate that no other server can be cheaper for a call."""
 
     def check(job: Job, home: Server, now_ms: int) -> bool:
         if not job.history_tokens or job.kind != "model":
             return False
         if not home.residents.cached_tokens(job.key.program_key):
             return False
-        cost = _cost(job, home, now_ms, prices, share())
-        new = job.prompt_tokens - job.history_tokens
-        history = unshared_tokens(job, home) - new
-        elsewhere = (
-            new + prices.recompute_weight * history
-        ) / prices.prefill_tokens_per_ms
-        return cost.fits and cost.total_ms <= elsewhere
+        cost = _cost(job, home, now_ms, model, cache_share())
+        new_tokens = job.prompt_tokens - job.history_tokens
+        history = unshared_tokens(job, home) - new_tokens
+        elsewhere_ms = (
+            new_tokens + model.recompute_weight * history
+        ) / model.prefill_tokens_per_ms
+        return cost.fits and cost.total_ms <= elsewhere_ms
 
     return check
 
@@ -151,9 +155,9 @@
 def sample_servers(
     job: Job, servers: list[Server], now_ms: int
 ) -> list[Server]:
-    """Returns some of many servers, others at other times.
+    """Returns a subset of the servers that varies with the program and time.
 
-    Among many, the best of a few dozen is nearly as good as the best of all.
+    The best of a few dozen servers is nearly as good as the best of many.
     """
     if len(servers) <= _MAX_CANDIDATES:
         return servers
@@ -164,15 +168,15 @@
 
 
 def uncached_tokens(job: Job, server: Server) -> int:
-    """Returns the tokens of the prompt that a server would have to compute."""
+    """Returns the prompt tokens that a server would have to prefill."""
     held = server.residents.cached_tokens(job.key.program_key)
     return max(0, unshared_tokens(job, server) - held)
 
 
 def unshared_tokens(job: Job, server: Server) -> int:
-    """Returns the memory that the call's context needs on a server.
+    """Returns the tokens of the context that need memory of their own.
 
-    What other programs there share with it needs no memory of its own.
+    The prefix shared with other programs on the server is not counted.
     """
     shared = job.shared_tokens
     if job.parent and shared:
@@ -182,7 +186,7 @@
 
 
 def _cost(
-    job: Job, server: Server, now_ms: int, prices: CostModel, share: float
+    job: Job, server: Server, now_ms: int, model: CostModel, cache_share: float
 ) -> Cost:
     report = server.report
     slots = max(1, report.capacity)
@@ -191,51 +195,57 @@
         size = job.prompt_tokens - job.history_tokens
         if report.server != job.last_server:
             size = job.prompt_tokens
-        transfer = prices.region_delay_ms
-        transfer += size * prices.bytes_per_token / prices.link_bytes_per_ms
+        transfer = model.region_delay_ms
+        transfer += size * model.bytes_per_token / model.link_bytes_per_ms
     if report.kind != "model":
         wait = 1_000.0 * server.load / slots
         return Cost(server, wait, 0.0, transfer, server.load < slots)
-    cache = report.cache_tokens * share
-    # Room kept for programs that never say they have ended would leave the
-    # engine idle while others wait for it: the idler it is, the sooner a
-    # paused program loses its room.
-    busy = min(1.0, _FULL_HOLD * server.load / slots)
-    hold_ms = round(max(prices.min_hold_ms, prices.max_hold_ms * busy))
-    server.residents.expire_idle(now_ms, hold_ms, round(cache))
-    wait = server.load * prices.gap_per_call_ms * prices.expected_output_tokens
-    missing = uncached_tokens(job, server)
-    known = max(job.history_tokens, job.shared_tokens if job.parent else 0)
-    new = max(0, min(missing, job.prompt_tokens - known))
-    weighed = new + prices.recompute_weight * (missing - new)
-    prefill = weighed / prices.prefill_tokens_per_ms
+    usable_cache = report.cache_tokens * cache_share
+    # Memory reserved for programs that never report their end would leave the
+    # engine idle while other programs wait. The lower its load, the sooner a
+    # paused program loses its reservation.
+    load_share = min(1.0, _SLOTS_PER_CALL_FOR_FULL_HOLD * server.load / slots)
+    hold_ms = round(max(model.min_hold_ms, model.max_hold_ms * load_share))
+    server.residents.expire_idle(now_ms, hold_ms, round(usable_cache))
+    wait = server.load * model.gap_per_call_ms * model.expected_output_tokens
+    uncached = uncached_tokens(job, server)
+    known_tokens = max(
+        job.history_tokens, job.shared_tokens if job.parent else 0
+    )
+    new_tokens = max(0, min(uncached, job.prompt_tokens - known_tokens))
+    weighted_tokens = new_tokens + model.recompute_weight * (
+        uncached - new_tokens
+    )
+    prefill = weighted_tokens / model.prefill_tokens_per_ms
     if not server.residents.is_active(job.key.program_key):
-        used = server.residents.active_tokens / max(1.0, cache)
-        wait += prices.full_cache_ms * used
-    fits = server.load < slots and _has_memory(job, server, prices, cache)
+        used = server.residents.active_tokens / max(1.0, usable_cache)
+        wait += model.full_cache_ms * used
+    fits = server.load < slots and _has_memory(job, server, model, usable_cache)
     return Cost(server, wait, prefill, transfer, fits)
 
 
 def _has_memory(
-    job: Job, server: Server, prices: CostModel, cache: float
+    job: Job, server: Server, model: CostModel, usable_cache: float
 ) -> bool:
-    """Returns whether the context fits beside those of active programs.
+    """Returns whether the context fits beside those of the active programs.
 
-    Without this limit the active programs of a busy engine evict one another
-    in each pause, and every turn computes its whole history again.
+    Without this limit, the active programs of a busy engine would evict one
+    another during pauses, and every turn would prefill its whole history.
     """
     residents = server.residents
-    if not cache or residents.is_active(job.key.program_key):
+    if not usable_cache or residents.is_active(job.key.program_key):
         return True
-    room = prices.max_active_share * cache - residents.active_tokens
-    # A context beyond half the cache could wait for ever for that much room.
-    return min(unshared_tokens(job, server), cache / 2) <= room
+    free_tokens = (
+        model.max_active_share * usable_cache - residents.active_tokens
+    )
+    # A context larger than half the cache might never find that much memory.
+    return min(unshared_tokens(job, server), usable_cache / 2) <= free_tokens
 
 
 def least_outstanding(
     job: Job, servers: list[Server], now_ms: int
 ) -> Server | None:
-    """Chooses the server with the fewest granted calls for its capacity."""
+    """Returns the server with the fewest granted calls per capacity."""
     if not servers:
         return None
     return min(
@@ -248,7 +258,7 @@
 
 
 def sticky(job: Job, servers: list[Server], now_ms: int) -> Server | None:
-    """Chooses the program's last server; without one, the least loaded."""
+    """Returns the program's last server; without one, the least loaded."""
     for server in servers:
         if server.report.server == job.last_server:
             return server
@@ -256,7 +266,7 @@
 
 
 def round_robin() -> Policy:
-    """Returns a policy that takes the servers in turn."""
+    """Returns a policy that uses the servers in rotation."""
     turns: dict[str, int] = {}
 
     def choose(job: Job, servers: list[Server], now_ms: int) -> Server | None:
@@ -264,7 +274,7 @@
             return None
         turn = turns.get(job.target, 0)
         turns[job.target] = turn + 1
-        names = sorted(servers, key=lambda server: server.report.server)
-        return names[turn % len(names)]
+        by_name = sorted(servers, key=lambda server: server.report.server)
+        return by_name[turn % len(by_name)]
 
     return choose
--- a/catkinpin/core/placement/jobs.py
+++ b/catkinpin/core/placement/jobs.py
@@ -1,4 +1,4 @@
-"""Calls as the scheduler gets them, and what it decides about them."""
+"""The input and the decisions of the scheduler."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-    """A call that waits for a server, and what is known of its program.
+    """A call to be placed on a server, with the state of its program.
 
     Attributes:
-        prompt_tokens: upper bound of the request's tokens; the scheduler
-            puts its estimate of the whole prompt in its place.
-        stored_tokens: history that goes before the request, which leaves it
-            out.
-        history_tokens: tokens of the program's history so far.
-        turns: calls of the program that have been answered.
-        attained_tokens: tokens the program has been served so far.
-        region: region of the caller's entry.
-        last_server: the server that last answered the program, or empty.
-        priority: of the deployment; higher goes first.
-        deadline_ms: monotonic time after which nobody waits for the answer.
-        without: servers that failed this call, or that failed many.
-        suspect: whether the call ran on a server that crashed.
-        content: digest of all that a server would get.
-        allowed: whether the configuration lets the call go to a server; asked
-            at each placement, since it may change while the call waits.
-        bound_tokens: the upper bound as it came; the scheduler's own note.
-        deployment: name of the deployment that lets the call run.
-        interactive: whether someone waits at a screen.
-        parent: id of the program that started this one, or empty.
-        shared_tokens: leading tokens that the parent's history holds too; of
-            a program without a parent, those that others begin with as well.
+        prompt_tokens: Upper bound of the request's tokens; the scheduler
+            replaces it by its estimate for the whole prompt.
+        stored_tokens: Tokens of the stored history that precedes the request
+            and is not part of it.
+        history_tokens: Tokens of the program's history so far.
+        turns: Number of answered calls of the program.
+        attained_tokens: Tokens that the program has been served so far.
+        region: Region of the caller's entry.
+        last_server: Server that last answered the program, or empty.
+        priority: Priority of the deployment; higher goes first.
+        deadline_ms: Monotonic time after which the caller stops waiting.
+        excluded_servers: Servers that failed this call or are ejected.
+        suspect: Whether the call ran on a server that crashed.
+        content_digest: Digest of everything that a server would receive.
+        is_allowed: Returns whether the call may run on a server; evaluated at
+            each placement, as the configuration may change while it waits.
+        prompt_bound_tokens: The original upper bound, kept by the scheduler.
+        deployment: Name of the deployment that the call belongs to.
+        interactive: Whether a user waits for the answer.
+        parent: ID of the program that started this one, or empty.
+        shared_tokens: Leading tokens shared with the parent's history; without
+            a parent, those shared with the account's other programs.
     """
 
     key: CallKey
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Place:
-    """Decision: the call goes to this server now."""
+    """Decision that the call runs on this server now."""
 
     key: CallKey
     server: Server
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reject:
-    """Decision: the call gets no server; its caller is refused at once."""
+    """Decision that the call gets no server and its caller is refused."""
 
     key: CallKey
     reason: Reason
--- a/catkinpin/core/placement/placer.py
+++ b/catkinpin/core/placement/placer.py
@@ -1,13 +1,15 @@
-"""Which model server the control group's leader names for a turn.
-
-The pattern: many gateways, each of which sees a turn or two a second. None of
-them knows what the others send where, so sessions start on busy engines while
-others are idle, and each engine reads each shared prompt. But every turn
-passes the leader: its begin before a server is chosen, its finish after. So
-the leader counts what runs where, and names a server with the begin's reply.
-
-All of it is soft state. A new leader starts without any and learns it from the
-turns that begin and finish; a gateway that gets no name chooses by itself.
+"""Selects the model server for each turn on the leader of the control group.
+
+With many gateways, each sees only one or two turns per second and does not
+know where the others send theirs. New sessions would land on busy engines
+while others are idle, and every engine would prefill every shared prompt. The
+leader sees every turn: its begin before a server is chosen and its finish
+afterwards. It therefore tracks the turns on each server, and the reply to a
+begin names the server.
+
+All of this is soft state. A new leader starts with none and rebuilds it from
+the turns that begin and finish; a gateway that gets no server name chooses
+one itself.
 """
 
 from __future__ import annotations
@@ -26,25 +28,26 @@
 
     from catkinpin.core.control.servers import Instance
 
-# A turn is forgotten this long after its deadline: its gateway has died.
-_EXPIRY_SLACK_MS = 500
-_SWEEP_EVERY_MS = 500
-# Weight of a server in another region. The leader knows enough to keep most
-# prompts in their region, and the link between regions is narrow.
-_REGION_MS = 100.0
-# Part of the way that a service's speed moves towards each report.
+# A turn expires this long after its deadline, as its gateway must have died.
+_EXPIRY_GRACE_MS = 500
+_EXPIRY_INTERVAL_MS = 500
+# Cost of a server in another region. It is higher than a gateway's: the leader
+# knows enough to keep most prompts in their region, and the link between
+# regions is narrow.
+_CROSS_REGION_MS = 100.0
+# Weight of a new report in the moving average of a service's speed.
 _SPEED_WEIGHT = 0.05
-# Turns that are tracked; beyond it none is placed.
+# Limit of tracked turns; while it is reached, no further turn is placed.
 _MAX_TURNS = 20_000
 
 
 class PlaceTurn(Message, frozen=True):
-    """What the leader must know of a turn to name a server for it.
+    """Asks the leader to select a server for a turn.
 
     Attributes:
-        domain: failure domain of the gateway.
-        max_tokens: that the turn may generate.
-        left_ms: until its deadline.
+        domain: Failure domain of the gateway.
+        max_tokens: Limit of the tokens that the turn generates.
+        left_ms: Time left until its deadline.
     """
 
     service: str
@@ -55,11 +58,11 @@
 
 
 class TurnReport(Message, frozen=True):
-    """What a gateway reports about the servers of a turn that has ended.
+    """Reports a gateway's observations of the servers of an ended turn.
 
     Attributes:
-        failed: servers that failed it.
-        speed: of the service, as the gateway has learned it.
+        failed: IDs of the servers that failed the turn.
+        speed: Speed of the service as learned by the gateway.
     """
 
     failed: list[str] = []
@@ -68,39 +71,39 @@
 
 @dataclasses.dataclass
 class _PlacedTurn:
-    """A turn that counts at a server until it is settled."""
+    """A turn that counts as load of its server until it finishes or expires."""
 
     instance: Instance
     until_ms: int
 
 
 class ReportedSpeeds(Speeds):
-    """Speeds of engines, averaged over what gateways report."""
+    """Engine speeds, as a moving average of the gateways' reports."""
 
     def __init__(self) -> None:
         super().__init__()
         self._reported: dict[str, EngineSpeed] = {}
 
     def engine_speed(self, service: str) -> EngineSpeed:
-        """Returns how fast a usual model server of a service is."""
+        """Returns the typical speed of a service's model servers."""
         return self._reported.get(service, EngineSpeed())
 
     def add_report(self, service: str, speed: EngineSpeed) -> None:
-        """Takes in what a gateway has learned."""
+        """Adds a gateway's report to the average."""
         known = self.engine_speed(service)
         self._reported[service] = EngineSpeed(
-            _moved(known.read_ms, speed.read_ms),
-            _moved(known.token_ms, speed.token_ms),
-            _moved(known.beside_ms, speed.beside_ms),
+            _moving_average(known.read_ms, speed.read_ms),
+            _moving_average(known.token_ms, speed.token_ms),
+            _moving_average(known.beside_ms, speed.beside_ms),
         )
 
 
 class Placer:
-    """Places the turns of all gateways.
+    """Selects servers for the turns of all gateways.
 
     Args:
-        regions: region of each failure domain.
-        rng: draws near ties.
+        regions: Region of each failure domain.
+        rng: Random generator that breaks ties.
     """
 
     def __init__(self, regions: dict[str, str], rng: random.Random) -> None:
@@ -109,25 +112,25 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forgets everything; another leader may have placed turns since."""
+        """Clears all state, as another leader may have placed turns since."""
         self._speeds = ReportedSpeeds()
         self._balancer = Balancer(
             "",
             self._regions,
             self._rng,
             self._speeds,
-            region_cost_ms=_REGION_MS,
+            region_cost_ms=_CROSS_REGION_MS,
         )
         self._turns: dict[str, _PlacedTurn] = {}
-        self._swept_ms = 0
+        self._last_expiry_ms = 0
 
     @property
     def running_turns(self) -> int:
-        """How many turns count at servers now."""
+        """Number of placed turns that have not finished or expired."""
         return len(self._turns)
 
     def reported_speed(self, service: str) -> EngineSpeed:
-        """Returns how fast a usual server of a service is, as reported."""
+        """Returns the typical speed of a service's servers, as reported."""
         return self._speeds.engine_speed(service)
 
     def place(
@@ -138,17 +141,17 @@
         last_server: Instance | None,
         now_ms: int,
     ) -> str:
-        """Returns the server for a turn, empty where there is none.
+        """Returns the ID of the server for a turn, empty if there is none.
 
         Args:
-            attempt: identity of the turn; a resend gets the same server.
-            turn: what is asked for.
-            servers: of the turn's service.
-            last_server: that ran the program's latest turn, and so holds what
-                its prompt begins with; None if that is not known.
-            now_ms: monotonic time.
+            attempt: ID of the turn; a resent request gets the same server.
+            turn: The turn to place.
+            servers: Servers of the turn's service.
+            last_server: Server of the program's previous turn, which has
+                cached all but the last part of the prompt; None if unknown.
+            now_ms: Monotonic time.
         """
-        self._sweep(now_ms)
+        self._remove_expired(now_ms)
         placed = self._turns.get(attempt)
         if placed is not None:
             return placed.instance.id
@@ -165,15 +168,16 @@
         if choice is None:
             return ""
         self._balancer.record_sent(choice.instance, call)
-        until_ms = now_ms + turn.left_ms + _EXPIRY_SLACK_MS
+        until_ms = now_ms + turn.left_ms + _EXPIRY_GRACE_MS
         self._turns[attempt] = _PlacedTurn(choice.instance, until_ms)
         return choice.instance.id
 
     def finish(self, attempt: str, report: TurnReport, now_ms: int) -> None:
-        """Takes a turn off its server; one that was never placed is ignored.
+        """Ends a turn; does nothing for a turn that was not placed here.
 
-        Only the server that was named can be reported as failed: a gateway
-        whose own connections are broken must not eject the others' servers.
+        Only the server that was selected for the turn can be reported as
+        failed. Otherwise a gateway whose own connections are broken would
+        eject healthy servers for all gateways.
         """
         placed = self._turns.pop(attempt, None)
         if placed is None:
@@ -188,13 +192,13 @@
             self._speeds.add_report(instance.service, report.speed)
 
     def forget(self, server: str) -> None:
-        """Forgets a server that is gone."""
+        """Removes the state of a server that is gone."""
         self._balancer.forget(server)
 
-    def _sweep(self, now_ms: int) -> None:
-        if now_ms - self._swept_ms < _SWEEP_EVERY_MS:
+    def _remove_expired(self, now_ms: int) -> None:
+        if now_ms - self._last_expiry_ms < _EXPIRY_INTERVAL_MS:
             return
-        self._swept_ms = now_ms
+        self._last_expiry_ms = now_ms
         expired = [
             attempt
             for attempt, placed in self._turns.items()
@@ -204,5 +208,5 @@
             self._balancer.record_ended(self._turns.pop(attempt).instance)
 
 
-def _moved(known: float, reported: float) -> float:
+def _moving_average(known: float, reported: float) -> float:
     return known + (reported - known) * _SPEED_WEIGHT
--- a/catkinpin/core/placement/regression.py
+++ b/catkinpin/core/placement/regression.py
@@ -1,13 +1,13 @@
-"""A straight line under noisy points, which remembers all of its range.
+"""Robust online linear regression for timings with positive outliers.
 
-What a gateway measures of a server is spoilt in lumps, and nearly always
-upwards: another prompt was read in between, a cache did not hold what it was
-believed to hold, a network stalled. So of the points that lie near each other
-a low one counts, not their mean.
+Measured times of a server have outliers, nearly always upwards: another prompt
+was prefilled in between, the cache did not hold the expected prefix, or the
+network stalled. The fit therefore uses a low quantile of nearby points, not
+their mean.
 
-Under a burst all points come from crowded servers. A line through the newest
-points alone would then forget what an idle server takes. So points are kept
-by where they lie, and each part of the range keeps its own newest ones.
+During a burst all points come from busy servers, and a fit to the newest
+points alone would lose the times of an idle server. The points are therefore
+grouped by x into buckets, and each bucket keeps its own newest points.
 """
 
 from __future__ import annotations
@@ -20,40 +20,42 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Points kept in each part of the range, and the least that say anything.
+# Points kept per bucket, and the minimum for a bucket to take part in the fit.
 _MAX_POINTS = 64
 _MIN_POINTS = 3
-# Of the points in a part, this one counts, from the lowest.
-_LOW_SHARE = 0.25
-# The line is drawn anew once so many points have come, and moves so far there
-# at least. Decisions rest on the proportion of two lines: where both jump
-# about, work does.
-_EVERY = 4
-_WEIGHT = 0.05
-# The first drawings rest on few points; later ones count so many times more.
-_EARLY = 3
+# Quantile of the y values that represents a bucket.
+_LOW_QUANTILE = 0.25
+# Points between two fits, and the minimum weight of a new fit in the moving
+# average. Decisions compare the values of two lines: if both lines jumped,
+# requests would move between servers.
+_POINTS_PER_FIT = 4
+_MIN_FIT_WEIGHT = 0.05
+# The n-th fit has the weight of this constant divided by n, at most 1 and at
+# least the minimum: the first fits rest on few points and are soon replaced.
+_FIRST_FITS_WEIGHT = 3
 
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """Least and most that a value may be learned to be."""
+    """Limits of a learned value."""
 
     lower: float
     upper: float
 
     def clip(self, value: float) -> float:
-        """Returns the nearest value within."""
+        """Returns the value limited to the bounds."""
         return min(max(value, self.lower), self.upper)
 
 
 @dataclasses.dataclass(frozen=True)
 class Prior:
-    """What is assumed of a line.
+    """Prior of a line.
 
     Attributes:
-        base: before any point.
-        slope: returns the slope of a line that passes at some height.
-        spread: of x, at which points tell the slope as well as the prior.
+        base: Base before any point is added.
+        slope: Returns the slope of a line that passes through x and y.
+        spread: Spread of x at which the points weigh as much as the prior in
+            the estimate of the slope.
     """
 
     base: float
@@ -62,8 +64,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Part:
-    """The points in one part of the range, as one."""
+class _BucketPoint:
+    """The representative point of a bucket, weighted by its point count."""
 
     x: float
     y: float
@@ -71,12 +73,12 @@
 
 
 class Line:
-    """y = base + slope * x, for x from 0.
+    """The fitted line y = base + slope * x, for x from 0.
 
     Args:
-        prior: what is assumed.
-        bases: bounds of the base.
-        slopes: bounds of the slope.
+        prior: Prior of the line.
+        bases: Bounds of the base.
+        slopes: Bounds of the slope.
     """
 
     def __init__(self, prior: Prior, bases: Bounds, slopes: Bounds) -> None:
@@ -86,50 +88,54 @@
         self._bases = bases
         self._slopes = slopes
         self._points: dict[int, collections.deque[tuple[float, float]]] = {}
-        self._new = 0
-        self._drawn = 0
+        self._points_since_fit = 0
+        self._fits = 0
 
     def value_at(self, x: float) -> float:
-        """Returns the line's value."""
+        """Returns the line's y value at x."""
         return self.base + self.slope * x
 
     def add(self, x: float, y: float) -> None:
-        """Takes a point."""
-        place = int(math.log2(max(x, 0.0) + 1))
-        points = self._points.get(place)
+        """Adds a point and refits the line after every few points."""
+        bucket = int(math.log2(max(x, 0.0) + 1))
+        points = self._points.get(bucket)
         if points is None:
             points = collections.deque(maxlen=_MAX_POINTS)
-            self._points[place] = points
+            self._points[bucket] = points
         points.append((x, y))
-        self._new += 1
-        if self._new >= _EVERY:
-            self._new = 0
-            self._draw()
-
-    def _draw(self) -> None:
-        parts = [
-            _low(points)
+        self._points_since_fit += 1
+        if self._points_since_fit >= _POINTS_PER_FIT:
+            self._points_since_fit = 0
+            self._fit()
+
+    def _fit(self) -> None:
+        buckets = [
+            _representative(points)
             for points in self._points.values()
             if len(points) >= _MIN_POINTS
         ]
-        if not parts:
+        if not buckets:
             return
-        total = sum(part.weight for part in parts)
-        x = sum(part.x * part.weight for part in parts) / total
-        y = sum(part.y * part.weight for part in parts) / total
+        total_weight = sum(p.weight for p in buckets)
+        x = sum(p.x * p.weight for p in buckets) / total_weight
+        y = sum(p.y * p.weight for p in buckets) / total_weight
         prior = _MIN_POINTS * self._prior.spread**2
-        sum_xx = sum(p.weight * (p.x - x) ** 2 for p in parts)
-        sum_xy = sum(p.weight * (p.x - x) * (p.y - y) for p in parts)
+        sum_xx = sum(p.weight * (p.x - x) ** 2 for p in buckets)
+        sum_xy = sum(p.weight * (p.x - x) * (p.y - y) for p in buckets)
         slope = (sum_xy + prior * self._prior.slope(x, y)) / (sum_xx + prior)
         slope = self._slopes.clip(slope)
         base = self._bases.clip(y - slope * x)
-        self._drawn += 1
-        weight = max(_WEIGHT, min(1.0, _EARLY / self._drawn))
+        self._fits += 1
+        weight = max(_MIN_FIT_WEIGHT, min(1.0, _FIRST_FITS_WEIGHT / self._fits))
         self.slope += (slope - self.slope) * weight
         self.base += (base - self.base) * weight
 
 
-def _low(points: collections.deque[tuple[float, float]]) -> _Part:
+def _representative(
+    points: collections.deque[tuple[float, float]],
+) -> _BucketPoint:
     x = sum(point[0] for point in points) / len(points)
-    heights = sorted(point[1] for point in points)
-    return _Part(x, heights[int(len(heights) * _LOW_SHARE)], len(points))
+    y_values = sorted(point[1] for point in points)
+    return _BucketPoint(
+        x, y_values[int(len(y_values) * _LOW_QUANTILE)], len(points)
+    )
--- a/catkinpin/core/placement/scheduler.py
+++ b/catkinpin/core/placement/scheduler.py
@@ -1,8 +1,8 @@
-"""Which waiting call gets which server, and when.
+"""Schedules the calls of a shard on backend servers.
 
-The shard's leader hands each call that is next in its program to the scheduler
-and gets decisions back: at once, or later when a server has room. The state is
-soft: a new leader builds it again from its log and from new reports.
+The shard's leader submits each call that is next in its program. The scheduler
+returns decisions, either immediately or once a server has capacity. Its state
+is soft: a new leader rebuilds it from its log and from new reports.
 """
 
 from __future__ import annotations
@@ -27,20 +27,21 @@
     from catkinpin.core.placement.servers import Server, ServerView
 
 _RETRY_AFTER_MS = 1_000
-# Weight of the newest answer in what is learned of prompts.
-_LEARNING = 0.05
+# Weight of a new answer in the moving average of the prompt token ratio.
+_TOKEN_RATIO_WEIGHT = 0.05
 
 
 @dataclasses.dataclass(frozen=True)
 class QueueOptions:
-    """How calls may wait for a better server.
+    """Limits and order of the queue of each target.
 
     Attributes:
-        order: gives each call its place among those that wait.
-        max_waiting: calls that may wait for one target.
-        starved_after_ms: a call that has waited this long goes first, and no
-            program without room overtakes it.
-        tries: calls that get no server in a row before a round ends.
+        order: Returns the sort key of a queued call.
+        max_waiting: Limit of the calls queued for one target.
+        starved_after_ms: Waiting time after which a call goes first, and no
+            call whose program has no memory reserved overtakes it.
+        max_misses: Number of calls without a server after which a pass over
+            the queue ends.
     """
 
     order: waiting.Ordering = waiting.least_attained
@@ -51,76 +52,80 @@
 
 @dataclasses.dataclass
 class _Running:
-    """A running call, on the incarnation of a server that is known here."""
+    """A running call, with its server if that is known here."""
 
     server: Server | None
     job: Job | None = None
 
 
 class Scheduler:
-    """Waiting and running calls of one leader."""
+    """Queues the calls of one leader and assigns servers to them."""
 
     def __init__(
         self,
         view: ServerView,
         policy: Callable[[Job, list[Server], int], Server | None],
-        plan: QueueOptions | None = None,
-        keeps: Callable[[Job, Server, int], bool] = lambda *_: False,
+        options: QueueOptions | None = None,
+        prefers_home: Callable[[Job, Server, int], bool] = lambda *_: False,
     ) -> None:
         """Creates a scheduler.
 
         Args:
-            view: the servers; the scheduler counts its grants there.
-            policy: chooses a server, or none while the call should wait.
-            plan: how calls wait; without it a call without a server is
-                refused at once.
-            keeps: whether a program's server is surely the best for a call.
+            view: The servers, on which the scheduler counts its grants.
+            policy: Chooses a server, or None while the call should wait.
+            options: Limits of the queues; without them, a call that gets no
+                server is rejected immediately.
+            prefers_home: Returns whether the home server of a call's program
+                is certainly the cheapest for the call.
         """
-        self._keeps = keeps
+        self._prefers_home = prefers_home
         self._view = view
         self._policy = policy
-        self._plan = plan
+        self._options = options
         self._running: dict[CallKey, _Running] = {}
-        # Learned: what the programs of an account begin with alike.
-        self._common: dict[tuple[str, str], int] = {}
-        # Learned: tokens that engines count by the bound, for each target.
-        self._scale: dict[str, float] = {}
+        # Learned length of the common prefix of an account's programs, by
+        # account and target.
+        self._common_prefix_tokens: dict[tuple[str, str], int] = {}
+        # Learned ratio of counted prompt tokens to their bound, by target.
+        self._token_ratio: dict[str, float] = {}
         self._homes: dict[ProgramKey, str] = {}
-        self._waiting: dict[tuple[str, str], waiting.CallQueue] = {}
+        self._queues: dict[tuple[str, str], waiting.CallQueue] = {}
 
     def submit(self, job: Job, now_ms: int) -> list[Decision]:
-        """Takes a call; one that is known already changes nothing."""
-        calls = self._calls(job)
-        if job.key in self._running or job.key in calls:
+        """Places, queues or rejects a call; ignores a call that it has."""
+        queue = self._queue_for(job)
+        if job.key in self._running or job.key in queue:
             return []
-        job = self._estimated(job)
-        usable = self._usable(job, now_ms)
+        job = self._with_estimates(job)
+        usable = self._candidate_servers(job, now_ms)
         if not usable:
             return [_no_server(job)]
-        if not self._must_queue(job, calls):
+        if not self._must_queue(job, queue):
             server = self._policy(job, usable, now_ms)
             if server is not None:
                 return [self._place(job, server, now_ms)]
-        if self._plan is None or len(calls) >= self._plan.max_waiting:
+        if self._options is None or len(queue) >= self._options.max_waiting:
             text = f"every server for {job.target!r} is busy"
             return [Reject(job.key, Reason.OVERLOADED, text, _RETRY_AFTER_MS)]
-        calls.add(job, now_ms)
+        queue.add(job, now_ms)
         return []
 
-    def _estimated(self, job: Job) -> Job:
-        """Returns the call with what was learned about its prompt.
+    def _with_estimates(self, job: Job) -> Job:
+        """Returns the call with an estimate of its prompt tokens.
 
-        The bound that a budget needs is several times the tokens that the
-        engine counts in the end. By the bound, a program would seem to lack a
-        large part of its history on the server that holds it.
+        The upper bound, which budgets need, is several times the number of
+        tokens that the engine counts. With the bound, a server that has cached
+        a program's history would seem to lack a large part of it.
         """
         if job.kind != "model":
             return job
-        scale = self._scale.get(job.target, 1.0)
-        prompt = job.stored_tokens + round(scale * job.prompt_tokens)
+        token_ratio = self._token_ratio.get(job.target, 1.0)
+        prompt = job.stored_tokens + round(token_ratio * job.prompt_tokens)
         shared = job.shared_tokens
         if not job.parent:
-            shared = self._common.get((job.key.account, job.target), 0)
+            shared = self._common_prefix_tokens.get(
+                (job.key.account, job.target), 0
+            )
         return dataclasses.replace(
             job,
             prompt_tokens=max(prompt, job.history_tokens),
@@ -131,51 +136,54 @@
     def end_call(
         self, key: CallKey, now_ms: int, usage: Usage | None = None
     ) -> list[Decision]:
-        """Notes that a call holds no server any more, and fills the room.
+        """Releases a call's server and places queued calls on it.
 
         Args:
-            key: the call.
-            now_ms: monotonic time.
-            usage: what the engine counted, where it answered.
+            key: The call.
+            now_ms: Monotonic time.
+            usage: Token counts of the engine, if it answered.
         """
         running = self._running.pop(key, None)
         if running is None:
-            self._give_up(key)
+            self._remove_queued(key)
             return []
         server = running.server
         if server is None:
             return []
         server.granted = max(0, server.granted - 1)
-        self._learn(running, server, usage, now_ms)
+        self._record_usage(running, server, usage, now_ms)
         decisions = []
         for target in server.report.serves:
-            calls = self._waiting.get((server.report.kind, target))
-            if calls is not None:
-                decisions += self._fill(calls, now_ms)
+            queue = self._queues.get((server.report.kind, target))
+            if queue is not None:
+                decisions += self._place_queued(queue, now_ms)
         return decisions
 
-    def _learn(
+    def _record_usage(
         self,
         running: _Running,
         server: Server,
         usage: Usage | None,
         now_ms: int,
     ) -> None:
-        """Learns from an ended call about its context."""
+        """Updates token estimates and the server's state from an ended call."""
         job = running.job
         if job is None or job.kind != "model":
             return
         tokens = 0
         if usage is not None and usage.prompt_tokens:
             if job.turns == 0 and not job.parent:
-                # What a new program finds in the cache is another's.
-                common = (job.key.account, job.target)
-                self._common[common] = usage.cached_tokens
+                # The cached tokens of a new program's first call come from
+                # other programs.
+                prefix_key = (job.key.account, job.target)
+                self._common_prefix_tokens[prefix_key] = usage.cached_tokens
             counted = usage.prompt_tokens - job.stored_tokens
             if job.prompt_bound_tokens and counted > 0:
-                before = self._scale.get(job.target, 1.0)
-                step = _LEARNING * (counted / job.prompt_bound_tokens - before)
-                self._scale[job.target] = before + step
+                previous = self._token_ratio.get(job.target, 1.0)
+                change = _TOKEN_RATIO_WEIGHT * (
+                    counted / job.prompt_bound_tokens - previous
+                )
+                self._token_ratio[job.target] = previous + change
             tokens = usage.prompt_tokens + usage.completion_tokens
             tokens -= job.prompt_tokens - candidates.unshared_tokens(
                 job, server
@@ -183,110 +191,113 @@
         server.residents.end_call(job.key.program_key, max(0, tokens), now_ms)
 
     def end_program(self, key: ProgramKey) -> None:
-        """Notes that a program will make no more calls."""
+        """Releases the memory of a program that makes no more calls."""
         home = self._view.servers.get(self._homes.pop(key, ""))
         if home is not None:
             home.residents.remove(key)
 
     def restore_call(self, key: CallKey, server: str) -> None:
-        """Notes an attempt that an earlier leader granted."""
+        """Restores a running call that a previous leader granted."""
         found = self._view.servers.get(server)
         self._running[key] = _Running(found)
         if found is not None:
             found.granted += 1
 
     def release_all(self) -> None:
-        """Gives back all that it counted on servers; its leader steps down.
+        """Releases all its counts on servers when its leader steps down.
 
-        Several shards' schedulers share a view. What a former leader counted
-        would look like calls that never end, and keep others off the servers.
+        The schedulers of several shards share a view. Counts left behind by a
+        former leader would look like calls that never end and would block the
+        servers for other shards.
         """
         for running in self._running.values():
             if running.server is not None:
                 running.server.granted = max(0, running.server.granted - 1)
         self._running.clear()
-        self._waiting.clear()
+        self._queues.clear()
         for program in list(self._homes):
             self.end_program(program)
 
     def tick(self, now_ms: int) -> list[Decision]:
-        """Decides anew after reports have come or time has passed."""
+        """Rejects expired calls and retries placement of queued calls."""
         decisions: list[Decision] = []
-        for calls in self._waiting.values():
-            for job in calls.expired_jobs(now_ms):
-                calls.remove(job.key)
+        for queue in self._queues.values():
+            for job in queue.expired_jobs(now_ms):
+                queue.remove(job.key)
                 text = f"no server for {job.target!r} was free in time"
                 decisions.append(
                     Reject(job.key, Reason.DEADLINE, text, _RETRY_AFTER_MS)
                 )
-            calls.promote_starved(now_ms)
-            decisions += self._fill(calls, now_ms)
+            queue.promote_starved(now_ms)
+            decisions += self._place_queued(queue, now_ms)
         return decisions
 
-    def _give_up(self, key: CallKey) -> None:
-        """Takes a call that got its final answer out of the queue."""
-        for calls in self._waiting.values():
-            if key in calls:
-                calls.remove(key)
+    def _remove_queued(self, key: CallKey) -> None:
+        """Removes a call that got its final answer from the queues."""
+        for queue in self._queues.values():
+            if key in queue:
+                queue.remove(key)
 
-    def _calls(self, job: Job) -> waiting.CallQueue:
-        plan = self._plan or QueueOptions()
+    def _queue_for(self, job: Job) -> waiting.CallQueue:
+        options = self._options or QueueOptions()
         key = (job.kind, job.target)
-        if key not in self._waiting:
-            self._waiting[key] = waiting.CallQueue(
-                plan.order, plan.starved_after_ms
+        if key not in self._queues:
+            self._queues[key] = waiting.CallQueue(
+                options.order, options.starved_after_ms
             )
-        return self._waiting[key]
+        return self._queues[key]
 
-    def _must_queue(self, job: Job, calls: waiting.CallQueue) -> bool:
-        """Returns whether the call would overtake one that has starved."""
-        return calls.starved_count() > 0 and self._wants_room(job)
+    def _must_queue(self, job: Job, queue: waiting.CallQueue) -> bool:
+        """Returns whether the call would overtake a starved call."""
+        return queue.starved_count() > 0 and self._needs_memory(job)
 
-    def _fill(self, calls: waiting.CallQueue, now_ms: int) -> list[Decision]:
-        """Places the calls that can go now, in order."""
-        if not len(calls):
+    def _place_queued(
+        self, queue: waiting.CallQueue, now_ms: int
+    ) -> list[Decision]:
+        """Places the queued calls that can run now, in order."""
+        if not len(queue):
             return []
-        plan = self._plan or QueueOptions()
-        placed: list[Decision] = []
+        options = self._options or QueueOptions()
+        decisions: list[Decision] = []
         misses = 0
-        starved = calls.starved_count()
-        # A program that needs as much memory as one that found none, or
-        # more, finds none either: it need not be tried.
+        starved = queue.starved_count()
+        # Skips calls that need at least as much memory as a call of the same
+        # deployment that did not fit.
         min_missed_tokens: dict[str, float] = collections.defaultdict(
             lambda: math.inf
         )
-        for position, job in enumerate(list(calls)):
-            wants_room = self._wants_room(job)
+        for position, job in enumerate(list(queue)):
+            needs_memory = self._needs_memory(job)
             group = job.deployment
-            if wants_room and job.prompt_tokens >= min_missed_tokens[group]:
+            if needs_memory and job.prompt_tokens >= min_missed_tokens[group]:
                 continue
-            usable = self._usable(job, now_ms)
+            usable = self._candidate_servers(job, now_ms)
             server = self._policy(job, usable, now_ms)
             if not usable:
-                calls.remove(job.key)
-                placed.append(_no_server(job))
+                queue.remove(job.key)
+                decisions.append(_no_server(job))
                 continue
             if server is not None:
-                calls.remove(job.key)
-                placed.append(self._place(job, server, now_ms))
+                queue.remove(job.key)
+                decisions.append(self._place(job, server, now_ms))
                 continue
-            if wants_room and not job.excluded_servers:
+            if needs_memory and not job.excluded_servers:
                 least = min(min_missed_tokens[group], job.prompt_tokens)
                 min_missed_tokens[group] = least
-            # What runs out would go to a starved call; a younger one that
-            # needs less must not keep it from ever getting enough.
-            if position < starved and wants_room:
+            # Freed memory is reserved for a starved call. Otherwise younger
+            # calls that need less could keep it waiting for ever.
+            if position < starved and needs_memory:
                 min_missed_tokens[group] = 0
             misses += 1
-            if misses >= plan.max_misses:
+            if misses >= options.max_misses:
                 break
-        return placed
+        return decisions
 
-    def _usable(self, job: Job, now_ms: int) -> list[Server]:
-        """Returns the servers to choose from.
+    def _candidate_servers(self, job: Job, now_ms: int) -> list[Server]:
+        """Returns the candidate servers for a call.
 
-        Where the program's own server holds its prefix and any other would
-        take longer to compute it, no other need be looked at.
+        If the program's home server has cached its prefix and another server
+        would take longer to compute it, this is the home server alone.
         """
         home = self._homes.get(job.key.program_key, "")
         found = self._view.usable_servers(
@@ -297,14 +308,14 @@
             job.is_allowed,
             home,
         )
-        if found and self._keeps(job, found[0], now_ms):
+        if found and self._prefers_home(job, found[0], now_ms):
             return found
         return self._view.usable_servers(
             job.kind, job.target, now_ms, job.excluded_servers, job.is_allowed
         )
 
-    def _wants_room(self, job: Job) -> bool:
-        """Returns whether no server keeps room for the call's program."""
+    def _needs_memory(self, job: Job) -> bool:
+        """Returns whether no server reserves memory for the call's program."""
         program = job.key.program_key
         home = self._view.servers.get(self._homes.get(program, ""))
         return (
@@ -319,16 +330,16 @@
         self._running[job.key] = _Running(server, job)
         server.granted += 1
         if job.kind == "model":
-            self._move(program, name)
+            self._set_home(program, name)
             tokens = candidates.unshared_tokens(job, server)
             server.residents.start_call(program, tokens, now_ms)
         return Place(job.key, server)
 
-    def _move(self, program: ProgramKey, name: str) -> None:
-        """Makes a server the program's home and keeps no room at another."""
-        before = self._view.servers.get(self._homes.get(program, ""))
-        if before is not None and before.report.server != name:
-            before.residents.deactivate(program)
+    def _set_home(self, program: ProgramKey, name: str) -> None:
+        """Makes a server the program's home and frees memory at the old one."""
+        previous = self._view.servers.get(self._homes.get(program, ""))
+        if previous is not None and previous.report.server != name:
+            previous.residents.deactivate(program)
         self._homes[program] = name
 
 
--- a/catkinpin/core/placement/speeds.py
+++ b/catkinpin/core/placement/speeds.py
@@ -1,16 +1,17 @@
-"""How fast backend servers are, learned from their own answers.
-
-Where a request goes, and how late its program is, depend on what reading a
-prompt and making a token take. Engines differ tenfold in both. With figures of
-other engines, a fast service's prompts are read again and again where a queue
-would have cost less, and on a slow one all programs count as late, so that
-urgency can't rank them.
-
-So each gateway learns, per service, from the answers that pass through it:
-what a prompt token takes, what a generated one takes and how that grows with
-the requests beside it, and per route what a plain call takes. Servers of one
-service differ, too; each has a factor on top. All is bounded, and starts from
-a prior in the middle of what engines do.
+"""Learns the speed of backend servers from their answers.
+
+Both the choice of a server and the lateness of a program depend on the time
+that an engine takes to prefill a prompt token and to generate a token. Engines
+differ tenfold in both. With the figures of other engines, the prompts of a
+fast service would be prefilled again and again where queueing costs less, and
+every program on a slow service would count as late, so that urgency could not
+rank them.
+
+Each gateway therefore learns from the answers that pass through it: per
+service, the time per prompt token, the time per generated token and its growth
+with concurrent requests; per route, the time of a plain call; and per server,
+how much slower it is than its service. All values are bounded and start from a
+prior in the middle of the range of engines.
 """
 
 from __future__ import annotations
@@ -24,67 +25,69 @@
 if TYPE_CHECKING:
     from catkinpin.core.requests.calls import RouteCall
 
-# Before any answer, in ms: a token of a prompt, and a generated token.
-_READ_MS = 0.0125
-_TOKEN_MS = 2.0
-# Of a generated token's time, what a request beside adds.
-_BESIDE_SHARE = 0.01
-# From sending a request to its first token, where nothing must be read.
-_FIRST_MS = 20.0
-# What a plain call takes before any has, in ms.
-_PLAIN_MS = 50.0
-# Of a plain call's time, what one more beside it adds.
-_PLAIN_BESIDE_SHARE = 0.04
-
-_READ_BOUNDS = Bounds(0.001, 1.0)
-_TOKEN_BOUNDS = Bounds(0.05, 100.0)
-_BESIDE_BOUNDS = Bounds(0.0, 2.0)
-_FIRST_BOUNDS = Bounds(1.0, 1_000.0)
-_PLAIN_BOUNDS = Bounds(0.5, 60_000.0)
-_FACTOR_BOUNDS = Bounds(0.25, 4.0)
-# Tokens read, and requests beside, by which answers must differ to tell a
-# slope as well as the prior does.
-_READ_SPREAD = 300.0
-_BESIDE_SPREAD = 12.0
-# Part of the way that a server's factor moves towards each new answer, and
-# what it must come to before it counts: servers that differ little are alike,
-# or sessions would move between them by chance and be read again.
-_FACTOR_WEIGHT = 0.15
+# Prior time per prompt token and per generated token.
+_PRIOR_READ_MS = 0.0125
+_PRIOR_TOKEN_MS = 2.0
+# Share of a generated token's time that each concurrent request adds.
+_CONCURRENT_SHARE = 0.01
+# Prior time from sending a request to its first token, without prefill.
+_PRIOR_FIRST_TOKEN_MS = 20.0
+# Prior time of a plain call.
+_PRIOR_PLAIN_CALL_MS = 50.0
+# Share of a plain call's time that each concurrent call adds.
+_PLAIN_CONCURRENT_SHARE = 0.04
+
+_READ_MS_BOUNDS = Bounds(0.001, 1.0)
+_TOKEN_MS_BOUNDS = Bounds(0.05, 100.0)
+_BESIDE_MS_BOUNDS = Bounds(0.0, 2.0)
+_FIRST_TOKEN_MS_BOUNDS = Bounds(1.0, 1_000.0)
+_PLAIN_CALL_MS_BOUNDS = Bounds(0.5, 60_000.0)
+_SLOWDOWN_BOUNDS = Bounds(0.25, 4.0)
+# Spread of prefilled tokens and of concurrent requests at which the samples
+# weigh as much as the prior in the estimate of a slope.
+_READ_TOKENS_SPREAD = 300.0
+_CONCURRENT_SPREAD = 12.0
+# Weight of a new answer in the moving average of a server's slowdown.
+_SLOWDOWN_WEIGHT = 0.15
+# Slowdowns below this ratio, and speedups likewise, are ignored. Otherwise
+# sessions would move between similar servers by chance, and each move means
+# another prefill.
 _SIMILAR_RATIO = 1.6
-# A server without recent answers loses its factor: it may have recovered,
-# and gets too little work to show it.
-_FACTOR_HALF_LIFE_MS = 4_000
-# Part of the way that a plain call's usual time moves towards each new one,
-# and how many times the usual one call may count at most.
+# The slowdown of a server without recent answers decays: the server may have
+# recovered, but gets too little work to show it.
+_SLOWDOWN_HALF_LIFE_MS = 4_000
+# Weight of a new plain call in the moving average of its route, and the
+# multiple of the average at which the time of a single call is capped.
 _PLAIN_WEIGHT = 0.05
-_PLAIN_MAX_RATIO = 4.0
-# Gaps between events that tell the time of a token at least, and which of
-# them does, from the shortest: the others held prompts of other requests.
+_PLAIN_CAP_RATIO = 4.0
+# Gaps between events that a sample of the token time needs at least, and the
+# quantile of the gaps that is used. Longer gaps include the prefill of other
+# requests.
 _MIN_GAPS = 3
-_LOW_GAP = 0.25
+_GAP_QUANTILE = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
 class EngineSpeed:
-    """How fast a model server is, in ms.
+    """Speed of a model server.
 
     Attributes:
-        read_ms: a token of a prompt that it doesn't hold.
-        token_ms: a generated token, where nothing runs beside.
-        beside_ms: what each request beside adds to a generated token.
+        read_ms: Prefill time per prompt token that is not cached.
+        token_ms: Time per generated token on an otherwise idle server.
+        beside_ms: Time per generated token that each concurrent request adds.
     """
 
-    read_ms: float = _READ_MS
-    token_ms: float = _TOKEN_MS
-    beside_ms: float = _TOKEN_MS * _BESIDE_SHARE
+    read_ms: float = _PRIOR_READ_MS
+    token_ms: float = _PRIOR_TOKEN_MS
+    beside_ms: float = _PRIOR_TOKEN_MS * _CONCURRENT_SHARE
 
     @property
     def is_plausible(self) -> bool:
-        """Whether an engine can be as fast as this."""
+        """Whether the values are within the bounds for engines."""
         return (
-            _READ_BOUNDS.clip(self.read_ms) == self.read_ms
-            and _TOKEN_BOUNDS.clip(self.token_ms) == self.token_ms
-            and _BESIDE_BOUNDS.clip(self.beside_ms) == self.beside_ms
+            _READ_MS_BOUNDS.clip(self.read_ms) == self.read_ms
+            and _TOKEN_MS_BOUNDS.clip(self.token_ms) == self.token_ms
+            and _BESIDE_MS_BOUNDS.clip(self.beside_ms) == self.beside_ms
         )
 
     def scaled(self, factor: float) -> EngineSpeed:
@@ -98,15 +101,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamTimings:
-    """Times of one answer of a model server.
+    """Timings of one streamed answer of a model server.
 
     Attributes:
-        read_tokens: of its prompt, that it had to read; None where that isn't
-            known well.
-        first_ms: from sending the request to the first event.
-        gaps_ms: between events, for each token of the later one.
-        beside: requests that ran beside it.
-        waiting: requests that waited at the server.
+        read_tokens: Prompt tokens that the server had to prefill; None if the
+            number is uncertain.
+        first_ms: Time from sending the request to the first event.
+        gaps_ms: Times between events, per token of the later event.
+        concurrent: Number of concurrent requests on the server.
+        waiting: Number of requests that waited at the server.
     """
 
     read_tokens: int | None
@@ -117,75 +120,82 @@
 
 
 @dataclasses.dataclass
-class _Factor:
-    """How much longer one server takes than its service, as a logarithm."""
+class _SlowdownLog:
+    """Logarithm of a server's slowdown relative to its service."""
 
     started_ms: int
     log: float = 0.0
     at_ms: int = 0
 
-    def at(self, now_ms: int) -> float:
-        """Returns the logarithm as far as it still says anything."""
-        half_lives = (now_ms - self.at_ms) / _FACTOR_HALF_LIFE_MS
+    def log_at(self, now_ms: int) -> float:
+        """Returns the logarithm, decayed by its age."""
+        half_lives = (now_ms - self.at_ms) / _SLOWDOWN_HALF_LIFE_MS
         return self.log * math.pow(0.5, half_lives)
 
 
-class _Engines:
-    """What is known of the model servers of one service."""
+class _ServiceSpeed:
+    """Learned speed of the model servers of one service."""
 
     def __init__(self) -> None:
-        reading = Prior(_FIRST_MS, lambda x, y: _READ_MS, _READ_SPREAD)
-        making = Prior(_TOKEN_MS, _usual_beside_ms, _BESIDE_SPREAD)
-        self._first = Line(reading, _FIRST_BOUNDS, _READ_BOUNDS)
-        self._token = Line(making, _TOKEN_BOUNDS, _BESIDE_BOUNDS)
+        first = Prior(
+            _PRIOR_FIRST_TOKEN_MS,
+            lambda x, y: _PRIOR_READ_MS,
+            _READ_TOKENS_SPREAD,
+        )
+        token = Prior(_PRIOR_TOKEN_MS, _prior_beside_ms, _CONCURRENT_SPREAD)
+        self._first = Line(first, _FIRST_TOKEN_MS_BOUNDS, _READ_MS_BOUNDS)
+        self._token = Line(token, _TOKEN_MS_BOUNDS, _BESIDE_MS_BOUNDS)
 
     @property
     def speed(self) -> EngineSpeed:
-        """Returns the speed of a usual one."""
+        """Speed of a typical server of the service."""
         return EngineSpeed(
             self._first.slope, self._token.base, self._token.slope
         )
 
-    def streamed(self, sample: StreamTimings) -> float:
+    def learn(self, sample: StreamTimings) -> float:
         """Learns from an answer.
 
         Returns:
-            How many times the usual it took a token, 0 where it has no sample.
+            The ratio of its token time to the expected one, 0 if the answer
+            has too few gaps.
         """
         if sample.read_tokens is not None and not sample.waiting:
             self._first.add(sample.read_tokens, sample.first_ms)
         if len(sample.gaps_ms) < _MIN_GAPS:
             return 0.0
-        low = sorted(sample.gaps_ms)[int(len(sample.gaps_ms) * _LOW_GAP)]
-        gap_ms = _TOKEN_BOUNDS.clip(low)
+        low_gap_ms = sorted(sample.gaps_ms)[
+            int(len(sample.gaps_ms) * _GAP_QUANTILE)
+        ]
+        gap_ms = _TOKEN_MS_BOUNDS.clip(low_gap_ms)
         self._token.add(sample.concurrent, gap_ms)
         return gap_ms / self._token.value_at(sample.concurrent)
 
 
 class Speeds:
-    """Speeds of all servers, as one gateway sees them."""
+    """Speeds of all servers, as learned by one gateway."""
 
     def __init__(self) -> None:
-        self._engines: dict[str, _Engines] = {}
-        self._factors: dict[str, _Factor] = {}
+        self._services: dict[str, _ServiceSpeed] = {}
+        self._slowdowns: dict[str, _SlowdownLog] = {}
         self._plain_ms: dict[str, float] = {}
 
     def engine_speed(self, service: str) -> EngineSpeed:
-        """Returns how fast a usual model server of a service is."""
-        engines = self._engines.get(service)
-        return engines.speed if engines is not None else EngineSpeed()
+        """Returns the typical speed of a service's model servers."""
+        learned = self._services.get(service)
+        return learned.speed if learned is not None else EngineSpeed()
 
     def slowdown(self, server: str, now_ms: int) -> float:
-        """Returns how many times the usual a server takes."""
-        factor = self._factors.get(server)
-        if factor is None:
+        """Returns the ratio of a server's time to that of its service."""
+        slowdown_log = self._slowdowns.get(server)
+        if slowdown_log is None:
             return 1.0
-        times = math.exp(factor.at(now_ms))
-        return 1.0 if 1 / _SIMILAR_RATIO < times < _SIMILAR_RATIO else times
+        ratio = math.exp(slowdown_log.log_at(now_ms))
+        return 1.0 if 1 / _SIMILAR_RATIO < ratio < _SIMILAR_RATIO else ratio
 
     def plain_ms(self, route: str) -> float:
-        """Returns what a plain call of a route usually takes."""
-        return self._plain_ms.get(route, _PLAIN_MS)
+        """Returns the average time of a route's plain calls."""
+        return self._plain_ms.get(route, _PRIOR_PLAIN_CALL_MS)
 
     def record_stream(
         self,
@@ -195,44 +205,55 @@
         sample: StreamTimings,
         now_ms: int,
     ) -> None:
-        """Learns from a whole answer of a model server."""
-        engines = self._engines.setdefault(service, _Engines())
-        factor = self._factors.get(server)
-        if factor is None or factor.started_ms != started_ms:
-            factor = self._factors[server] = _Factor(started_ms)
-        known = factor.at(now_ms)
-        times = engines.streamed(sample)
-        if times:
-            aim = math.log(_FACTOR_BOUNDS.clip(times))
-            factor.log = known + (aim - known) * _FACTOR_WEIGHT
-            factor.at_ms = now_ms
+        """Learns from a complete answer of a model server."""
+        learned = self._services.setdefault(service, _ServiceSpeed())
+        slowdown_log = self._slowdowns.get(server)
+        if slowdown_log is None or slowdown_log.started_ms != started_ms:
+            slowdown_log = self._slowdowns[server] = _SlowdownLog(started_ms)
+        current_log = slowdown_log.log_at(now_ms)
+        ratio = learned.learn(sample)
+        if ratio:
+            target_log = math.log(_SLOWDOWN_BOUNDS.clip(ratio))
+            slowdown_log.log = (
+                current_log + (target_log - current_log) * _SLOWDOWN_WEIGHT
+            )
+            slowdown_log.at_ms = now_ms
 
     def record_plain_call(self, route: str, took_ms: float) -> None:
         """Learns from the answer to a plain call."""
-        usual_ms = self.plain_ms(route)
-        took_ms = min(took_ms, _PLAIN_MAX_RATIO * usual_ms)
-        moved_ms = usual_ms + (took_ms - usual_ms) * _PLAIN_WEIGHT
-        self._plain_ms[route] = _PLAIN_BOUNDS.clip(moved_ms)
+        average_ms = self.plain_ms(route)
+        took_ms = min(took_ms, _PLAIN_CAP_RATIO * average_ms)
+        new_average_ms = average_ms + (took_ms - average_ms) * _PLAIN_WEIGHT
+        self._plain_ms[route] = _PLAIN_CALL_MS_BOUNDS.clip(new_average_ms)
 
     def expected_ms(self, service: str, route: str, call: RouteCall) -> float:
-        """Returns what a request likely takes on a server that isn't busy."""
+        """Returns the expected time of a request on an idle server."""
         if not call.max_tokens:
             return self.plain_ms(route)
         speed = self.engine_speed(service)
-        wanted = sum(part.tokens for part in call.prompt)
-        made_ms = call.max_tokens * speed.token_ms
-        return _FIRST_MS + wanted * speed.read_ms + made_ms
+        prompt_tokens = sum(part.tokens for part in call.prompt)
+        generation_ms = call.max_tokens * speed.token_ms
+        return (
+            _PRIOR_FIRST_TOKEN_MS
+            + prompt_tokens * speed.read_ms
+            + generation_ms
+        )
 
     def forget(self, server: str) -> None:
-        """Forgets a server that is gone."""
-        self._factors.pop(server, None)
+        """Removes the state of a server that is gone."""
+        self._slowdowns.pop(server, None)
 
 
-def _usual_beside_ms(beside: float, token_ms: float) -> float:
-    """Returns what a request beside adds, by what a token takes there."""
-    return token_ms / (1 + _BESIDE_SHARE * beside) * _BESIDE_SHARE
+def _prior_beside_ms(concurrent: float, token_ms: float) -> float:
+    """Returns the prior of the time per token that a concurrent request adds.
+
+    Args:
+        concurrent: Number of concurrent requests at the point.
+        token_ms: Time per token at the point.
+    """
+    return token_ms / (1 + _CONCURRENT_SHARE * concurrent) * _CONCURRENT_SHARE
 
 
 def plain_beside_ms(plain_ms: float) -> float:
-    """Returns what one more plain call adds to each beside it."""
-    return plain_ms * _PLAIN_BESIDE_SHARE
+    """Returns the time that one more plain call adds to each concurrent one."""
+    return plain_ms * _PLAIN_CONCURRENT_SHARE
--- a/catkinpin/core/placement/urgency.py
+++ b/catkinpin/core/placement/urgency.py
@@ -1,16 +1,16 @@
-"""How urgent a turn is to a model server, by its program's time.
+"""Computes the urgency of a turn to a model server from its program's progress.
 
-The pattern: many programs come at once, more than the engines can serve in
-time. Served in the order in which they came, or all alike while they are in
-time, all of them lose their slack together and end late, and a backlog that
-built up in seconds lasts for half a minute.
+During a burst, more programs arrive than the engines can serve in time. If
+they were served in order of arrival, or equally while they are in time, all of
+them would use up their slack together and finish late, and a backlog that
+builds up in seconds would last for half a minute.
 
-So programs that are under way and have lost little go first, at the engines'
-full speed; fresh ones get what these leave. A program that has lost more time
-to queues and crowded engines than its slack is behind: it can hardly be in
-time any more, and takes what is left.
+Programs that have started and lost little time therefore go first, at the
+full speed of the engines; new programs get the remaining capacity. A program
+that has lost more than its slack to queues and busy engines can hardly finish
+in time and goes last.
 
-Nothing is refused for it while the engines have room.
+Urgency alone does not refuse a turn while the engines have room.
 """
 
 from __future__ import annotations
@@ -23,27 +23,29 @@
     from catkinpin.core.placement.speeds import EngineSpeed
     from catkinpin.core.requests.calls import RouteCall
 
-# The scale of the engines: 0 is first, 9 last, 5 where nothing is said.
+# Values on the scale of the engines: 0 is served first, 9 last; engines assume
+# 5 if a request does not state its urgency.
 URGENCY_ON_TIME = 3
 URGENCY_NEW = 4
 URGENCY_DEFAULT = 5
 URGENCY_LATE = 6
 URGENCY_EXPIRED = 8
-# Of what a program was allowed, so much may be lost before it is behind.
-# Programs allowed twice their time on idle servers have half of it as slack.
-_SLACK = 0.35
-# The ways, the start of a run and a turn's record.
-_TURN_MS = 20.0
+# Share of its allowed time that a program may lose before it counts as late. A
+# program that is allowed twice its time on idle servers has half as slack.
+_SLACK_SHARE = 0.35
+# Fixed time of a turn: network, start of the run and the turn's record.
+_TURN_OVERHEAD_MS = 20.0
 
 
 class ProgramStatus(Message, frozen=True):
-    """How a program is doing when one of its turns begins.
+    """Progress of a program when one of its turns begins.
 
     Attributes:
-        allowed_ms: what it had at its start to be finished in; 0: not known.
-        elapsed_ms: since its start.
-        lost_ms: what its turns took longer than on idle servers.
-        turns: that have ended and generated anything.
+        allowed_ms: Time from the program's start to its deadline; 0 if it is
+            unknown.
+        elapsed_ms: Time since the program's start.
+        lost_ms: Time that its turns took beyond that on idle servers.
+        turns: Number of its turns that have ended and generated tokens.
     """
 
     allowed_ms: int = 0
@@ -53,20 +55,20 @@
 
 
 def turn_urgency(program_status: ProgramStatus) -> int:
-    """Returns how urgent a program's next turn is."""
+    """Returns the urgency of a program's next turn."""
     allowed_ms = program_status.allowed_ms
     elapsed_ms = program_status.elapsed_ms
     if not allowed_ms:
         return URGENCY_DEFAULT
     if elapsed_ms > 2 * allowed_ms:
         return URGENCY_EXPIRED
-    slack_ms = _SLACK * allowed_ms
+    slack_ms = _SLACK_SHARE * allowed_ms
     if not program_status.turns:
         return URGENCY_NEW if elapsed_ms <= slack_ms else URGENCY_LATE
-    late = elapsed_ms > allowed_ms
+    is_overdue = elapsed_ms > allowed_ms
     return (
         URGENCY_LATE
-        if late or program_status.lost_ms > slack_ms
+        if is_overdue or program_status.lost_ms > slack_ms
         else URGENCY_ON_TIME
     )
 
@@ -74,14 +76,16 @@
 def lost_ms(
     call: RouteCall, tokens: int, took_ms: int, speed: EngineSpeed
 ) -> int:
-    """Returns what a turn took longer than it would have on an idle server.
+    """Returns the time that a turn took beyond that on an idle server.
 
     Args:
-        call: the turn; the last part of its prompt is new.
-        tokens: that it generated.
-        took_ms: from its arrival to its end.
-        speed: of a usual server.
+        call: The turn; only the last part of its prompt needs prefill.
+        tokens: Number of tokens that it generated.
+        took_ms: Time from its arrival to its end.
+        speed: Typical speed of the service's servers.
     """
-    new = call.prompt[-1].tokens if call.prompt else call.prompt_tokens
-    idle_ms = _TURN_MS + tokens * speed.token_ms + new * speed.read_ms
+    new_tokens = call.prompt[-1].tokens if call.prompt else call.prompt_tokens
+    idle_ms = (
+        _TURN_OVERHEAD_MS + tokens * speed.token_ms + new_tokens * speed.read_ms
+    )
     return max(0, int(took_ms - idle_ms))
