--- a/catkinpin/core/placement/__init__.py
+++ b/catkinpin/core/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a server: load, speed, urgency, ejection, scheduling."""
+"""Server selection: load, speed, urgency, ejection and scheduling."""
--- a/catkinpin/core/placement/assignment.py
+++ b/catkinpin/core/placement/assignment.py
@@ -1,4 +1,4 @@
-"""Between a shard's leader and its scheduler: jobs in, outcomes out."""
+"""Submits a shard's calls to the scheduler and resolves its decisions."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
     from catkinpin.core.programs.program import Attempt, Call, Program
     from catkinpin.core.programs.shard import Shard
 
-# A call that must run apart from others tries again after this time.
+# Delay until a call that must not run beside others is placed again.
 _APART_WAIT_MS = 100
-# Contents of which an answer is remembered.
-_KNOWN_GOOD = 10_000
+# Limit of remembered contents that were answered.
+_MAX_KNOWN_GOOD = 10_000
 _MS_PER_S = 1_000
 
 
 @dataclasses.dataclass(frozen=True)
 class Placed:
-    """The call gets this server."""
+    """Outcome: the call runs on this server."""
 
     key: CallKey
     server: Server
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Deferred:
-    """The call must be placed again after a while."""
+    """Outcome: the call must be placed again after a delay."""
 
     key: CallKey
     wait_ms: int
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rejected:
-    """The call gets no server."""
+    """Outcome: the call gets no server and is refused."""
 
     key: CallKey
     reason: Reason
@@ -70,11 +70,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Submission:
-    """What came of a new call.
+    """Result of submitting a new call.
 
     Attributes:
-        own: outcomes of the call itself; none while it is queued.
-        others: decisions about other calls.
+        own_outcomes: Outcomes of the call itself; empty while it is queued.
+        other_decisions: Decisions about other calls.
     """
 
     own_outcomes: list[Outcome]
@@ -83,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Assigned:
-    """Where a call runs."""
+    """The server that a call runs on."""
 
     server: str
     content: bytes
@@ -91,13 +91,15 @@
 
 
 class CallAssigner:
-    """Submits calls, keeping suspects apart and outliers out.
+    """Submits calls, isolates suspect calls and excludes ejected servers.
+
+    A call is suspect if a server crashed while running its content.
 
     Args:
-        state: the shard's state, only read here.
-        jobs: the scheduler.
-        outliers: servers that get no work for a while.
-        cfg_of: the configuration in force.
+        state: State of the shard, which is only read here.
+        jobs: The scheduler.
+        outliers: Detector of failing servers.
+        cfg_of: Returns the active configuration.
     """
 
     def __init__(
@@ -111,20 +113,22 @@
         self._scheduler = jobs
         self._outliers = outliers
         self._cfg_of = cfg_of
-        self._answers: dict[tuple[str, str], tuple[str, bool]] = {}
-        self._answers_for: Configuration | None = None
+        self._allowed_cache: dict[tuple[str, str], tuple[str, bool]] = {}
+        self._allowed_cache_cfg: Configuration | None = None
         self._jobs: dict[CallKey, Job] = {}
         self._assigned: dict[CallKey, _Assigned] = {}
         self._suspects: dict[CallKey, _Assigned] = {}
-        self._contents: collections.Counter[bytes] = collections.Counter()
-        self._held_by: collections.Counter[str] = collections.Counter()
+        self._running_contents: collections.Counter[bytes] = (
+            collections.Counter()
+        )
+        self._calls_by_server: collections.Counter[str] = collections.Counter()
         self._known_good: dict[bytes, None] = {}
         self._begins: dict[CallKey, Begin] = {}
-        self._forgiven: set[CallKey] = set()
+        self._retried: set[CallKey] = set()
         self._now_ms = 0
 
     def submit_new(self, begin: Begin, now_ms: int) -> Submission:
-        """Submits a call that is not in the log yet."""
+        """Submits a call that is not yet in the log."""
         job = self._job(begin, None, None, now_ms + begin.deadline_ms, now_ms)
         decisions = self._scheduler.submit(job, now_ms)
         own = [one for one in decisions if one.key == begin.key]
@@ -138,170 +142,182 @@
     def submit(
         self, program: Program, call: Call, now_ms: int, wall_ms: int
     ) -> list[Decision]:
-        """Submits a call whose turn it is."""
+        """Submits a logged call that is next in its program."""
         deadline = now_ms + call.deadline_wall_ms - wall_ms
         job = self._job(call.begin, program, call, deadline, now_ms)
         return self._scheduler.submit(job, now_ms)
 
     def resolve(self, decisions: list[Decision], now_ms: int) -> list[Outcome]:
-        """Judges decisions; a call that could be placed otherwise gets that."""
-        found: list[Outcome] = []
-        waiting = list(decisions)
-        while waiting:
-            decision = waiting.pop(0)
+        """Turns the scheduler's decisions into outcomes.
+
+        A call that was placed where it must not run is deferred. A call
+        without a server is submitted once more with fewer exclusions.
+        """
+        outcomes: list[Outcome] = []
+        pending = list(decisions)
+        while pending:
+            decision = pending.pop(0)
             job = self._jobs.get(decision.key)
             if isinstance(decision, jobs.Place):
                 server = decision.server.report.server
                 if job is not None and self._must_wait(job, server):
-                    waiting += self.end_call(decision.key, now_ms)
-                    found.append(Deferred(decision.key, _APART_WAIT_MS))
+                    pending += self.end_call(decision.key, now_ms)
+                    outcomes.append(Deferred(decision.key, _APART_WAIT_MS))
                     continue
                 if job is not None:
                     assigned = _Assigned(
                         server, job.content_digest, job.suspect
                     )
-                    self._add(decision.key, assigned)
-                found.append(Placed(decision.key, decision.server))
+                    self._add_assigned(decision.key, assigned)
+                outcomes.append(Placed(decision.key, decision.server))
             elif (
                 job is not None
-                and decision.key not in self._forgiven
+                and decision.key not in self._retried
                 and decision.reason is Reason.NO_SERVER
             ):
-                again = self._submit_forgiving(job, now_ms)
-                waiting += again
-                if not again and job.suspect:
-                    self._forgiven.discard(decision.key)
-                    found.append(Deferred(decision.key, _APART_WAIT_MS))
+                retried_decisions = self._submit_with_fewer_exclusions(
+                    job, now_ms
+                )
+                pending += retried_decisions
+                if not retried_decisions and job.suspect:
+                    self._retried.discard(decision.key)
+                    outcomes.append(Deferred(decision.key, _APART_WAIT_MS))
             else:
-                found.append(_rejected(decision))
-        return found
+                outcomes.append(_rejected(decision))
+        return outcomes
 
     def end_call(
         self, key: CallKey, now_ms: int, usage: Usage | None = None
     ) -> list[Decision]:
-        """Notes that a call holds no server any more."""
+        """Releases the server of a call and returns the decisions it allows."""
         self._now_ms = now_ms
         self._jobs.pop(key, None)
         self._begins.pop(key, None)
-        self._forgiven.discard(key)
+        self._retried.discard(key)
         self._suspects.pop(key, None)
         assigned = self._assigned.pop(key, None)
         if assigned is not None:
-            self._held_by[assigned.server] -= 1
-            self._contents[assigned.content] -= 1
-            if not self._contents[assigned.content]:
-                del self._contents[assigned.content]
+            self._calls_by_server[assigned.server] -= 1
+            self._running_contents[assigned.content] -= 1
+            if not self._running_contents[assigned.content]:
+                del self._running_contents[assigned.content]
         return self._scheduler.end_call(key, now_ms, usage)
 
     def end_program(self, key: ProgramKey) -> None:
-        """Notes that a program makes no more calls."""
+        """Releases a program that makes no more calls."""
         self._scheduler.end_program(key)
 
     def record_answer(self, key: CallKey) -> None:
-        """Notes that a server survived the call's content."""
+        """Records that a server answered the call's content without a crash."""
         assigned = self._assigned.get(key)
         if assigned is None or not assigned.content:
             return
         self._known_good.pop(assigned.content, None)
         self._known_good[assigned.content] = None
-        if len(self._known_good) > _KNOWN_GOOD:
+        if len(self._known_good) > _MAX_KNOWN_GOOD:
             del self._known_good[next(iter(self._known_good))]
 
     def restore_call(self, call: Call, attempt: Attempt) -> None:
-        """Notes an attempt that an earlier leader granted."""
+        """Restores a running attempt that a previous leader granted."""
         server = attempt.choice.server.server
         suspect = self._shard.quarantine.is_suspect(call.content)
-        self._add(call.key, _Assigned(server, call.content, suspect))
+        self._add_assigned(call.key, _Assigned(server, call.content, suspect))
         self._scheduler.restore_call(call.key, server)
 
-    def _add(self, key: CallKey, assigned: _Assigned) -> None:
+    def _add_assigned(self, key: CallKey, assigned: _Assigned) -> None:
         self._assigned[key] = assigned
-        self._contents[assigned.content] += 1
-        self._held_by[assigned.server] += 1
+        self._running_contents[assigned.content] += 1
+        self._calls_by_server[assigned.server] += 1
         if assigned.suspect:
             self._suspects[key] = assigned
 
-    def _submit_forgiving(self, job: Job, now_ms: int) -> list[Decision]:
-        """Submits a job again that found no server but those it avoids.
+    def _submit_with_fewer_exclusions(
+        self, job: Job, now_ms: int
+    ) -> list[Decision]:
+        """Submits a job again that found no server outside its exclusions.
 
-        Servers that failed a call once are better than no server. A suspect
-        still keeps off servers that run another suspect.
+        Servers that failed the call before or that are ejected are better than
+        none. A suspect call still excludes servers that run another suspect.
         """
-        self._forgiven.add(job.key)
-        without = tuple(self._suspect_servers()) if job.suspect else ()
-        if job.suspect and set(job.excluded_servers) <= set(without):
+        self._retried.add(job.key)
+        excluded = tuple(self._suspect_servers()) if job.suspect else ()
+        if job.suspect and set(job.excluded_servers) <= set(excluded):
             return []
-        name = self._name_of(self._begins[job.key])
+        name = self._deployment_name(self._begins[job.key])
         job = dataclasses.replace(
             job,
-            excluded_servers=without,
-            is_allowed=lambda report: self._allowed(name, report),
+            excluded_servers=excluded,
+            is_allowed=lambda report: self._allowed_by_cfg(name, report),
         )
         self._jobs[job.key] = job
         return self._scheduler.submit(job, now_ms)
 
     def _must_wait(self, job: Job, server: str) -> bool:
-        """Returns whether a call must not run there now.
+        """Returns whether a call must not run on the server now.
 
-        Two suspects on one server could not be told apart when it crashes.
-        And one content on many servers at once, sent by a caller that does
-        not wait, would crash them all before the first crash is known; only
-        what was answered before may run more often at a time.
+        If a server crashes with two suspects, the cause cannot be determined.
+        A content that runs on many servers at once, sent by a caller that does
+        not wait for answers, could crash all of them before the first crash is
+        detected. Only contents that were answered before run without limit.
         """
         running = (
-            self._contents[job.content_digest] if job.content_digest else 0
+            self._running_contents[job.content_digest]
+            if job.content_digest
+            else 0
         )
         if not job.suspect:
-            limited = job.content_digest not in self._known_good
-            return limited and running >= CRASHES_ALLOWED
-        apart = server not in self._suspect_servers()
-        return running > 0 or not apart
+            is_limited = job.content_digest not in self._known_good
+            return is_limited and running >= CRASHES_ALLOWED
+        is_apart = server not in self._suspect_servers()
+        return running > 0 or not is_apart
 
-    def _allowed(self, deployment: str, report: ServerReport) -> bool:
-        """Returns whether a deployment's calls may go to the server now.
+    def _allowed_by_cfg(self, deployment: str, report: ServerReport) -> bool:
+        """Returns whether the configuration lets a deployment use the server.
 
-        Asked for every server at every placement, so the answers are kept
-        until the configuration or the server's incarnation changes.
+        The result is cached until the configuration or the incarnation of the
+        server changes, as every placement asks for every server.
         """
         cfg = self._cfg_of()
-        if cfg is not self._answers_for:
-            self._answers_for = cfg
-            self._answers.clear()
+        if cfg is not self._allowed_cache_cfg:
+            self._allowed_cache_cfg = cfg
+            self._allowed_cache.clear()
         key = (deployment, report.server)
-        known = self._answers.get(key)
+        known = self._allowed_cache.get(key)
         if known is None or known[0] != report.incarnation:
             known = (report.incarnation, cfg.allows(deployment, report))
-            self._answers[key] = known
+            self._allowed_cache[key] = known
         return known[1]
 
-    def _healthy(self, deployment: str, report: ServerReport) -> bool:
-        """Returns whether the server may get one more call just now."""
-        held = self._held_by[report.server]
-        if not self._outliers.admits(report.server, held, self._now_ms):
+    def _may_use(self, deployment: str, report: ServerReport) -> bool:
+        """Returns whether the server may get one more call now."""
+        running_calls = self._calls_by_server[report.server]
+        if not self._outliers.admits(
+            report.server, running_calls, self._now_ms
+        ):
             return False
-        return self._allowed(deployment, report)
+        return self._allowed_by_cfg(deployment, report)
 
-    def _name_of(self, begin: Begin) -> str:
+    def _deployment_name(self, begin: Begin) -> str:
         account = begin.key.account
-        found = self._cfg_of().deployment_for(account, begin.target)
-        return found.name if found is not None else ""
+        deployment = self._cfg_of().deployment_for(account, begin.target)
+        return deployment.name if deployment is not None else ""
 
     def _suspect_servers(self) -> list[str]:
         return [assigned.server for assigned in self._suspects.values()]
 
     def _shared_tokens(self, begin: Begin, parent: str) -> int:
-        """Returns the tokens that a sub-agent's request shares with a parent.
+        """Returns the tokens that a sub-agent's request shares with its parent.
 
-        Where the parent's prefix is, the sub-agent need not compute them.
+        A server that has cached the parent's prefix need not prefill them.
         """
         key = ProgramKey(account=begin.key.account, program=parent)
-        found = self._shard.programs.get(key)
-        if found is None or not len(found.history) or not begin.whole:
+        program = self._shard.programs.get(key)
+        if program is None or not len(program.history) or not begin.whole:
             return 0
-        same = found.history.first_difference(begin.digests)
-        whole = len(found.history)
-        share = (whole if same is None else same) / whole
-        return round(share * found.history_tokens)
+        differs_at = program.history.first_difference(begin.digests)
+        length = len(program.history)
+        share = (length if differs_at is None else differs_at) / length
+        return round(share * program.history_tokens)
 
     def _job(
         self,
@@ -319,9 +335,9 @@
         name = deployment.name if deployment is not None else ""
         content = self._shard.content_of(begin)
         suspect = self._shard.quarantine.is_suspect(content)
-        without = set(self._outliers.ejected_servers(now_ms))
-        without.update(call.failed_servers if call is not None else ())
-        without.update(self._suspect_servers() if suspect else ())
+        excluded = set(self._outliers.ejected_servers(now_ms))
+        excluded.update(call.failed_servers if call is not None else ())
+        excluded.update(self._suspect_servers() if suspect else ())
         history = program.history_tokens if program is not None else 0
         parent = program.parent if program is not None else begin.parent
         job = jobs.Job(
@@ -342,10 +358,10 @@
             interactive=deployment.interactive if deployment else False,
             parent=parent,
             shared_tokens=self._shared_tokens(begin, parent),
-            excluded_servers=tuple(sorted(without)),
+            excluded_servers=tuple(sorted(excluded)),
             suspect=suspect,
             content_digest=content,
-            is_allowed=lambda report: self._healthy(name, report),
+            is_allowed=lambda report: self._may_use(name, report),
         )
         self._jobs[begin.key] = job
         self._begins[begin.key] = begin
@@ -359,7 +375,7 @@
 
 
 def program_limits(deployment: Deployment) -> ProgramLimits:
-    """Returns the limits of a program of a deployment."""
+    """Returns the limits of a deployment's programs."""
     default = ProgramLimits(budget_tokens=deployment.budget_tokens)
     age_ms = deployment.budget_seconds * _MS_PER_S
     idle_ms = deployment.idle_timeout_seconds * _MS_PER_S
@@ -372,7 +388,7 @@
 
 
 def limit_scopes(cfg: Configuration, begin: Begin) -> list[limits.Scope]:
-    """Returns what a call counts for, with the limits of each."""
+    """Returns the scopes in which a call counts, with their limits."""
     key = begin.key
     tree = f"{key.account}/{sharding.root_of(key.program)}"
     scopes = [limits.Scope(limits.PROGRAM, tree, limits.PROGRAM_LIMITS)]
@@ -390,37 +406,37 @@
 def logged_choice(
     placed: Placed, entry: EntryRef, entries: list[EntryRef], priority: int
 ) -> Choice:
-    """Returns a placement as it goes into the log.
+    """Returns the log record of a placement.
 
     Args:
-        placed: the call and its server.
-        entry: who gets the grant.
-        entries: those that are connected; one in the server's region
-            dispatches where the one that asks is in another.
-        priority: of the deployment.
+        placed: The call and its server.
+        entry: The entry that gets the grant.
+        entries: The connected entries. If `entry` is in another region than
+            the server, one of those in the server's region dispatches the call.
+        priority: Priority of the deployment.
     """
     server = placed.server.ref
-    here = not server.region or server.region == entry.region
-    near = [e.address for e in entries if e.region == server.region]
+    is_local = not server.region or server.region == entry.region
+    candidates = [e.address for e in entries if e.region == server.region]
     return Choice(
         server=server,
         entry=entry.process,
         entry_incarnation=entry.incarnation,
-        dispatcher="" if here else _relay_of(placed.key, near),
+        dispatcher="" if is_local else _relay_of(placed.key, candidates),
         priority=priority,
     )
 
 
-def _relay_of(key: CallKey, near: list[str]) -> str:
-    """Returns the entry that relays a program's calls in another region.
+def _relay_of(key: CallKey, candidates: list[str]) -> str:
+    """Returns the entry that relays a program's calls to another region.
 
-    By rendezvous hashing: programs spread over the entries, a program stays
-    with the one that holds its history, and when an entry goes only its own
-    programs move.
+    The entry is chosen by rendezvous hashing: programs spread over the
+    entries, each stays with the entry that has its history, and when an entry
+    leaves, only its own programs move.
     """
     root = f"{key.account}/{sharding.root_of(key.program)}"
 
     def weight(address: str) -> bytes:
         return digest.of_bytes(f"{root}\0{address}".encode())
 
-    return max(near, key=weight, default="")
+    return max(candidates, key=weight, default="")
--- a/catkinpin/core/placement/candidates.py
+++ b/catkinpin/core/placement/candidates.py
@@ -15,7 +15,7 @@
 
 # Memory is reserved for the full hold time once one in so many slots is used;
 # below that, the hold time shrinks in proportion to the load.
-_SLOTS_PER_CALL_FOR_FULL_HOLD = 4
+_FULL_HOLD_SLOTS = 4
 # Limit of the servers for which costs are computed.
 _MAX_CANDIDATES = 32
 
@@ -169,8 +169,8 @@
 
 def uncached_tokens(job: Job, server: Server) -> int:
     """Returns the prompt tokens that a server would have to prefill."""
-    held = server.residents.cached_tokens(job.key.program_key)
-    return max(0, unshared_tokens(job, server) - held)
+    cached = server.residents.cached_tokens(job.key.program_key)
+    return max(0, unshared_tokens(job, server) - cached)
 
 
 def unshared_tokens(job: Job, server: Server) -> int:
@@ -190,24 +190,26 @@
 ) -> Cost:
     report = server.report
     slots = max(1, report.capacity)
-    transfer = 0.0
+    transfer_ms = 0.0
     if job.region and report.region and report.region != job.region:
-        size = job.prompt_tokens - job.history_tokens
+        sent_tokens = job.prompt_tokens - job.history_tokens
         if report.server != job.last_server:
-            size = job.prompt_tokens
-        transfer = model.region_delay_ms
-        transfer += size * model.bytes_per_token / model.link_bytes_per_ms
+            sent_tokens = job.prompt_tokens
+        transfer_ms = model.region_delay_ms
+        transfer_ms += (
+            sent_tokens * model.bytes_per_token / model.link_bytes_per_ms
+        )
     if report.kind != "model":
-        wait = 1_000.0 * server.load / slots
-        return Cost(server, wait, 0.0, transfer, server.load < slots)
-    usable_cache = report.cache_tokens * cache_share
+        wait_ms = 1_000.0 * server.load / slots
+        return Cost(server, wait_ms, 0.0, transfer_ms, server.load < slots)
+    usable_tokens = report.cache_tokens * cache_share
     # Memory reserved for programs that never report their end would leave the
     # engine idle while other programs wait. The lower its load, the sooner a
     # paused program loses its reservation.
-    load_share = min(1.0, _SLOTS_PER_CALL_FOR_FULL_HOLD * server.load / slots)
+    load_share = min(1.0, _FULL_HOLD_SLOTS * server.load / slots)
     hold_ms = round(max(model.min_hold_ms, model.max_hold_ms * load_share))
-    server.residents.expire_idle(now_ms, hold_ms, round(usable_cache))
-    wait = server.load * model.gap_per_call_ms * model.expected_output_tokens
+    server.residents.expire_idle(now_ms, hold_ms, round(usable_tokens))
+    wait_ms = server.load * model.gap_per_call_ms * model.expected_output_tokens
     uncached = uncached_tokens(job, server)
     known_tokens = max(
         job.history_tokens, job.shared_tokens if job.parent else 0
@@ -216,16 +218,18 @@
     weighted_tokens = new_tokens + model.recompute_weight * (
         uncached - new_tokens
     )
-    prefill = weighted_tokens / model.prefill_tokens_per_ms
+    prefill_ms = weighted_tokens / model.prefill_tokens_per_ms
     if not server.residents.is_active(job.key.program_key):
-        used = server.residents.active_tokens / max(1.0, usable_cache)
-        wait += model.full_cache_ms * used
-    fits = server.load < slots and _has_memory(job, server, model, usable_cache)
-    return Cost(server, wait, prefill, transfer, fits)
+        used_share = server.residents.active_tokens / max(1.0, usable_tokens)
+        wait_ms += model.full_cache_ms * used_share
+    fits = server.load < slots and _has_memory(
+        job, server, model, usable_tokens
+    )
+    return Cost(server, wait_ms, prefill_ms, transfer_ms, fits)
 
 
 def _has_memory(
-    job: Job, server: Server, model: CostModel, usable_cache: float
+    job: Job, server: Server, model: CostModel, usable_tokens: float
 ) -> bool:
     """Returns whether the context fits beside those of the active programs.
 
@@ -233,13 +237,13 @@
     another during pauses, and every turn would prefill its whole history.
     """
     residents = server.residents
-    if not usable_cache or residents.is_active(job.key.program_key):
+    if not usable_tokens or residents.is_active(job.key.program_key):
         return True
     free_tokens = (
-        model.max_active_share * usable_cache - residents.active_tokens
+        model.max_active_share * usable_tokens - residents.active_tokens
     )
     # A context larger than half the cache might never find that much memory.
-    return min(unshared_tokens(job, server), usable_cache / 2) <= free_tokens
+    return min(unshared_tokens(job, server), usable_tokens / 2) <= free_tokens
 
 
 def least_outstanding(
--- a/catkinpin/core/placement/limits.py
+++ b/catkinpin/core/placement/limits.py
@@ -1,7 +1,7 @@
-"""Admission, retry budgets and backoff: what keeps overload from spreading.
+"""Admission control, retry budgets and backoff, which contain overload.
 
-All of it is soft state of a shard's leader. A leader sees only its shard's
-calls, so it holds its share of each limit.
+All state is soft state of a shard's leader. A leader sees only the calls of
+its shard and enforces its share of each limit.
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
 ACCOUNT = "account"
 DEPLOYMENT = "deployment"
 PROGRAM = "program"
-# Calls of one tree of programs that may wait at a time.
+# Limit of the waiting calls of one tree of programs.
 PROGRAM_LIMITS = Limits(queue=256)
 _MS_PER_S = 1_000
 
-# Retries may be this share of first attempts.
+# Retries that each first attempt adds to the budget.
 RETRY_SHARE = 0.1
-# Retries that a deployment begins with, and the most that it can save up: a
-# server that crashes may have had a hundred running calls.
-_RETRIES_AT_FIRST = 100.0
-_RETRIES_KEPT = 1_000.0
+# Initial and maximum retry budget of a deployment. A server that crashes may
+# have had a hundred running calls.
+_INITIAL_RETRIES = 100.0
+_MAX_RETRIES = 1_000.0
 
 _BACKOFF_BASE_MS = 50
 _BACKOFF_CAP_MS = 2_000
 _MIN_RETRY_AFTER_MS = 200
 _MAX_RETRY_AFTER_MS = 30_000
-# Weight of the newest answer in mean times.
-_WEIGHT = 0.03
-# What an estimate of a wait may fall short of.
-_MARGIN = 1.25
-# Waiting calls below which no wait is estimated: too few to tell.
-_FEW = 16
+# Weight of a new answer in the moving averages of times.
+_AVERAGE_WEIGHT = 0.03
+# Safety factor on the estimated wait.
+_WAIT_SAFETY_FACTOR = 1.25
+# Number of waiting calls below which no wait is estimated.
+_MIN_WAITING_FOR_ESTIMATE = 16
 
 
 @dataclasses.dataclass(frozen=True)
 class Scope:
-    """What a limit holds for: an account, a deployment or a program."""
+    """An account, deployment or program tree with its limits."""
 
     kind: str
     name: str
@@ -53,24 +53,25 @@
 
 @dataclasses.dataclass(frozen=True)
 class Denial:
-    """Why a call is not admitted, and when coming back helps."""
+    """Why a call is not admitted, and after what time to retry."""
 
     text: str
     retry_after_ms: int
 
 
 @dataclasses.dataclass
-class _Flow:
-    """Calls of one scope.
+class _ScopeState:
+    """Counters and averages of one scope's calls.
 
     Attributes:
-        open: calls without a final answer.
-        running: those that hold a server.
-        gap_ms: mean time between answers while calls waited, 0 before.
-        last_ms: when the last of these came, 0 after a time without waiting.
-        run_ms: mean time that an answered call held its server.
-        left: calls that the rate allows now.
-        left_at_ms: when that was worked out.
+        open: Calls without a final answer.
+        running: Open calls that hold a server.
+        gap_ms: Mean time between answers while calls wait, 0 before the first.
+        last_ms: Time of the last answer while calls waited; 0 if no queue was
+            present at the last answer.
+        run_ms: Mean time that an answered call held its server.
+        tokens: Calls that the rate limit allows now.
+        refilled_at_ms: Time of the last refill of the tokens.
     """
 
     open: int = 0
@@ -78,45 +79,45 @@
     gap_ms: float = 0.0
     last_ms: int = 0
     run_ms: float = 0.0
-    left: float = 0.0
-    left_at_ms: int | None = None
+    tokens: float = 0.0
+    refilled_at_ms: int | None = None
 
     def refill(self, rate: float, now_ms: int) -> float:
-        """Returns the calls that the rate allows now."""
-        if self.left_at_ms is None:
-            self.left = max(1.0, rate)
+        """Refills the tokens of the rate limit and returns their number."""
+        if self.refilled_at_ms is None:
+            self.tokens = max(1.0, rate)
         else:
-            passed_s = (now_ms - self.left_at_ms) / _MS_PER_S
-            self.left = min(max(1.0, rate), self.left + passed_s * rate)
-        self.left_at_ms = now_ms
-        return self.left
+            elapsed_s = (now_ms - self.refilled_at_ms) / _MS_PER_S
+            self.tokens = min(max(1.0, rate), self.tokens + elapsed_s * rate)
+        self.refilled_at_ms = now_ms
+        return self.tokens
 
-    def answered(self, now_ms: int, run_ms: int) -> None:
-        """Notes an answer.
+    def record_answer(self, now_ms: int, run_ms: int) -> None:
+        """Updates the averages with an answer.
 
-        Only answers that came while calls waited show how fast a queue
-        empties; the others come as slowly as calls do, and after a quiet time
-        a burst would be refused for nothing.
+        Only answers that arrive while calls wait show how fast the queue
+        drains. Without a queue, answers are as rare as calls, and a burst
+        after a quiet period would be refused without reason.
         """
-        self.run_ms += _WEIGHT * (run_ms - self.run_ms)
-        if self.open - self.running < _FEW:
+        self.run_ms += _AVERAGE_WEIGHT * (run_ms - self.run_ms)
+        if self.open - self.running < _MIN_WAITING_FOR_ESTIMATE:
             self.last_ms = 0
             return
         if self.last_ms:
             gap = now_ms - self.last_ms
-            self.gap_ms += _WEIGHT * (gap - self.gap_ms)
+            self.gap_ms += _AVERAGE_WEIGHT * (gap - self.gap_ms)
         self.last_ms = now_ms
 
     def expected_wait_ms(self) -> int:
-        """Returns how long a new call would wait for its turn, about."""
+        """Returns the estimated time that a new call would wait."""
         waiting = self.open - self.running
-        if waiting < _FEW:
+        if waiting < _MIN_WAITING_FOR_ESTIMATE:
             return 0
         return int(waiting * self.gap_ms)
 
 
 class Admission:
-    """Counts open calls and refuses early what would be answered late.
+    """Counts open calls and refuses those beyond a limit or their deadline.
 
     Args:
         refuses_late_calls: whether to refuse calls that would miss their
@@ -125,145 +126,151 @@
 
     def __init__(self, *, refuses_late_calls: bool = True) -> None:
         self._refuses_late_calls = refuses_late_calls
-        self._flows: dict[tuple[str, str], _Flow] = {}
+        self._states: dict[tuple[str, str], _ScopeState] = {}
         self._calls: dict[CallKey, list[Scope]] = {}
         self._running: dict[CallKey, int] = {}
 
     def check(
         self, scopes: list[Scope], deadline_ms: int, now_ms: int
     ) -> Denial | None:
-        """Returns why a new call is refused now, or None.
+        """Returns why a new call is refused, or None if it is admitted.
 
         Args:
-            scopes: what the call counts for.
-            deadline_ms: ms that its caller still waits.
-            now_ms: monotonic time.
+            scopes: Scopes in which the call counts.
+            deadline_ms: Time for which its caller still waits.
+            now_ms: Monotonic time.
         """
         for scope in scopes:
-            found = self._check_scope(scope, deadline_ms, now_ms)
-            if found is not None:
-                return found
+            denial = self._check_scope(scope, deadline_ms, now_ms)
+            if denial is not None:
+                return denial
         return None
 
     def may_start(self, scopes: list[Scope]) -> bool:
         """Returns whether one more call may hold a server."""
         return all(
             not scope.limits.calls_running
-            or self._flow(scope).running < scope.limits.calls_running
+            or self._state_of(scope).running < scope.limits.calls_running
             for scope in scopes
         )
 
     def add_call(self, key: CallKey, scopes: list[Scope], now_ms: int) -> None:
-        """Counts a call; one that is counted already changes nothing."""
+        """Counts an open call, unless it is counted already."""
         if key in self._calls:
             return
         self._calls[key] = scopes
         for scope in scopes:
-            flow = self._flow(scope)
-            flow.open += 1
+            state = self._state_of(scope)
+            state.open += 1
             rate = scope.limits.calls_per_second
             if rate:
-                flow.left = flow.refill(rate, now_ms) - 1
+                state.tokens = state.refill(rate, now_ms) - 1
 
     def mark_running(self, key: CallKey, now_ms: int) -> None:
-        """Notes that the call holds a server."""
+        """Counts the call as running."""
         if key in self._calls and key not in self._running:
             self._running[key] = now_ms
             for scope in self._calls[key]:
-                self._flow(scope).running += 1
+                self._state_of(scope).running += 1
 
     def mark_stopped(self, key: CallKey) -> None:
-        """Notes that the call holds no server."""
+        """Counts the call as no longer running."""
         if self._running.pop(key, None) is not None:
             for scope in self._calls[key]:
-                self._flow(scope).running -= 1
+                self._state_of(scope).running -= 1
 
     def remove_call(self, key: CallKey, now_ms: int, *, answered: bool) -> None:
-        """Takes a call off the counts."""
+        """Removes a call from all counts."""
         run_ms = now_ms - self._running.get(key, now_ms)
         self.mark_stopped(key)
         for scope in self._calls.pop(key, []):
-            flow = self._flow(scope)
-            flow.open -= 1
+            state = self._state_of(scope)
+            state.open -= 1
             if answered:
-                flow.answered(now_ms, run_ms)
-            if not flow.open and _leaves_nothing(scope):
-                del self._flows[scope.kind, scope.name]
+                state.record_answer(now_ms, run_ms)
+            if not state.open and _can_drop(scope):
+                del self._states[scope.kind, scope.name]
 
-    def _flow(self, scope: Scope) -> _Flow:
-        return self._flows.setdefault((scope.kind, scope.name), _Flow())
+    def _state_of(self, scope: Scope) -> _ScopeState:
+        return self._states.setdefault((scope.kind, scope.name), _ScopeState())
 
     def _check_scope(
         self, scope: Scope, deadline_ms: int, now_ms: int
     ) -> Denial | None:
-        flow = self._flow(scope)
-        wait = flow.expected_wait_ms()
-        waiting = flow.open - flow.running
+        state = self._state_of(scope)
+        wait_ms = state.expected_wait_ms()
+        waiting = state.open - state.running
         if scope.limits.queue and waiting >= scope.limits.queue:
             text = f"the {scope.kind} has {waiting} calls waiting, its limit"
-            return Denial(text, _bounded(wait))
+            return Denial(text, _clamped_retry_after(wait_ms))
         rate = scope.limits.calls_per_second
-        if rate and flow.refill(rate, now_ms) < 1:
+        if rate and state.refill(rate, now_ms) < 1:
             text = f"the {scope.kind} makes more than {rate:g} calls a second"
-            return Denial(text, _bounded(int(_MS_PER_S / rate)))
-        # Admitted, the call would be given up on at its deadline after it has
-        # held a place in the queue: its caller is refused, others move up.
-        late = int(wait * _MARGIN + flow.run_ms) - deadline_ms
+            return Denial(text, _clamped_retry_after(int(_MS_PER_S / rate)))
+        # If admitted, the call would occupy the queue and still miss its
+        # deadline. It is refused so that other calls move up.
+        late_ms = (
+            int(wait_ms * _WAIT_SAFETY_FACTOR + state.run_ms) - deadline_ms
+        )
         if (
             self._refuses_late_calls
             and scope.kind == DEPLOYMENT
-            and wait
-            and late > 0
+            and wait_ms
+            and late_ms > 0
         ):
-            text = f"about {wait} ms until its turn, too late for its deadline"
-            return Denial(text, _bounded(late))
+            text = (
+                f"about {wait_ms} ms until its turn, too late for its deadline"
+            )
+            return Denial(text, _clamped_retry_after(late_ms))
         return None
 
 
-def _leaves_nothing(scope: Scope) -> bool:
-    """Returns whether a scope without calls can be forgotten.
+def _can_drop(scope: Scope) -> bool:
+    """Returns whether the state of a scope without calls can be dropped.
 
-    A deployment keeps its means, and one with a rate what it has used of it.
+    A deployment keeps its averages, and a scope with a rate limit its tokens.
     """
     return scope.kind != DEPLOYMENT and not scope.limits.calls_per_second
 
 
-def _bounded(wait_ms: int) -> int:
+def _clamped_retry_after(wait_ms: int) -> int:
     return max(_MIN_RETRY_AFTER_MS, min(_MAX_RETRY_AFTER_MS, wait_ms))
 
 
 class RetryBudget:
-    """Retries of a deployment, at most a share of its first attempts.
+    """Limits the retries of a deployment to a share of its first attempts.
 
-    When servers fail because they are overloaded, retries would multiply the
-    load that makes them fail; one notices goodput falling while servers are
-    busy. With the share fixed, load grows by that share at most.
+    When servers fail because of overload, unlimited retries would multiply the
+    load that makes them fail; the symptom is falling goodput on busy servers.
+    With the budget, retries add at most that share to the load.
     """
 
     def __init__(self, share: float = RETRY_SHARE) -> None:
-        self._share = share
-        self._left: dict[str, float] = {}
+        self._retries_per_attempt = share
+        self._retries_left: dict[str, float] = {}
 
     def record_first_attempt(self, deployment: str) -> None:
-        """Adds a share of a retry."""
-        left = self._left.get(deployment, _RETRIES_AT_FIRST)
-        self._left[deployment] = min(_RETRIES_KEPT, left + self._share)
+        """Adds the share of one attempt to the budget."""
+        retries = self._retries_left.get(deployment, _INITIAL_RETRIES)
+        self._retries_left[deployment] = min(
+            _MAX_RETRIES, retries + self._retries_per_attempt
+        )
 
     def spend(self, deployment: str) -> bool:
-        """Takes a retry; returns False where none is left."""
-        left = self._left.get(deployment, _RETRIES_AT_FIRST)
-        if left < 1:
+        """Takes one retry from the budget; returns False if none is left."""
+        retries = self._retries_left.get(deployment, _INITIAL_RETRIES)
+        if retries < 1:
             return False
-        self._left[deployment] = left - 1
+        self._retries_left[deployment] = retries - 1
         return True
 
 
 def backoff_ms(attempts: int, rng: random.Random) -> int:
-    """Returns how long to wait before the next attempt, in ms.
+    """Returns the delay before the next attempt.
 
-    The first retry goes out at once, to another server. Later ones wait a
-    random part of a bound that doubles, so that calls that failed together do
-    not come back together.
+    The first retry goes to another server immediately. Later ones wait a
+    random time below a bound that doubles, so that calls that failed together
+    are not retried together.
     """
     if attempts <= 1:
         return 0
--- a/catkinpin/core/placement/residents.py
+++ b/catkinpin/core/placement/residents.py
@@ -1,7 +1,7 @@
-"""Which programs' prefixes a server is thought to hold, and which are active.
+"""Tracks the program prefixes that a server is assumed to have cached.
 
-The engine's own reports come late and with gaps, so the ledger starts from
-what was sent to the server and takes reports only as corrections.
+The engine's reports are late and incomplete. The state is therefore derived
+from the calls sent to the server, and reports only correct it.
 """
 
 from __future__ import annotations
@@ -15,8 +15,9 @@
 
     from catkinpin.core.messages import ProgramKey
 
-# One report may omit a prefix by a gap; two in a row mean an eviction.
-_MISSED_REPORTS = 2
+# Consecutive reports without a prefix that mean an eviction. A single report
+# may be incomplete.
+_MISSED_REPORTS_FOR_EVICTION = 2
 
 
 @dataclasses.dataclass
@@ -24,11 +25,11 @@
     """A program's prefix on a server.
 
     Attributes:
-        tokens: size of what the server computed for the program itself.
-        cached: whether the server is thought to hold it still.
-        used_ms: when a call of the program last began or ended there.
-        running: calls of the program that run there.
-        missed: reports in a row that did not show the prefix.
+        tokens: Tokens that the server computed for this program alone.
+        last_used_ms: Time at which a call of the program last began or ended.
+        cached: Whether the server is assumed to have the prefix cached.
+        running: Running calls of the program on the server.
+        missed_reports: Consecutive reports that did not contain the prefix.
     """
 
     tokens: int
@@ -39,14 +40,17 @@
 
 
 class Residents:
-    """The programs of one server, active ones apart from idle ones.
+    """The active and idle programs of one server.
+
+    Memory is reserved for active programs. The prefixes of idle programs may
+    be evicted.
 
     Attributes:
-        active_tokens: memory that the active programs need.
+        active_tokens: Memory that the active programs need, in tokens.
     """
 
     def __init__(self) -> None:
-        # Both in order of last use, the oldest first.
+        # Both are in order of last use, the oldest first.
         self._active: collections.OrderedDict[ProgramKey, Resident] = (
             collections.OrderedDict()
         )
@@ -60,16 +64,18 @@
         return len(self._active)
 
     def is_active(self, key: ProgramKey) -> bool:
-        """Returns whether room is kept for the program."""
+        """Returns whether memory is reserved for the program."""
         return key in self._active
 
     def cached_tokens(self, key: ProgramKey) -> int:
-        """Returns the tokens of the program that are thought to be held."""
-        found = self._active.get(key) or self._idle.get(key)
-        return found.tokens if found is not None and found.cached else 0
+        """Returns the program's tokens that are assumed to be cached."""
+        resident = self._active.get(key) or self._idle.get(key)
+        return (
+            resident.tokens if resident is not None and resident.cached else 0
+        )
 
     def start_call(self, key: ProgramKey, tokens: int, now_ms: int) -> None:
-        """Notes a call that was granted with a context of `tokens`."""
+        """Records a granted call with a context of `tokens`."""
         resident = self._pop(key) or Resident(tokens, now_ms)
         resident.tokens = max(tokens, resident.tokens)
         resident.running += 1
@@ -77,7 +83,7 @@
         self._add_active(key, resident, now_ms)
 
     def end_call(self, key: ProgramKey, tokens: int, now_ms: int) -> None:
-        """Notes that a call has ended, with a context of `tokens` if known."""
+        """Records the end of a call; `tokens` is its context, 0 if unknown."""
         resident = self._pop(key)
         if resident is None:
             return
@@ -86,21 +92,26 @@
         self._add_active(key, resident, now_ms)
 
     def deactivate(self, key: ProgramKey) -> None:
-        """Keeps no room for a program any more; its prefix may stay."""
+        """Releases a program's memory reservation but not its prefix."""
         resident = self._pop(key)
         if resident is not None:
             self._idle[key] = resident
             self._idle_tokens += resident.tokens
 
     def remove(self, key: ProgramKey) -> None:
-        """Forgets a program that has ended."""
+        """Removes a program that has ended."""
         self._pop(key)
 
     def expire_idle(self, now_ms: int, hold_ms: int, cache_tokens: int) -> None:
-        """Stops keeping room for programs that have paused for long.
+        """Releases the reservations of programs that have paused for long.
+
+        Their prefixes stay until the engine needs the memory: the least
+        recently used count as evicted once the total exceeds the cache.
 
-        Their prefixes stay until the engine needs the memory: those used
-        longest ago count as evicted once all would not fit any more.
+        Args:
+            now_ms: Monotonic time.
+            hold_ms: Pause after which a program loses its reservation.
+            cache_tokens: Size of the cache.
         """
         while self._active:
             key = next(iter(self._active))
@@ -108,23 +119,23 @@
             if now_ms - resident.last_used_ms < hold_ms:
                 break
             if resident.running:
-                # It counts as used now, so that it is not met at each call.
+                # Marked as used now, so that later scans do not meet it again.
                 self._active.move_to_end(key)
                 resident.last_used_ms = now_ms
             else:
                 self.deactivate(key)
-        self._shed(cache_tokens)
+        self._deactivate_overflow(cache_tokens)
         while self._idle and (
             self.active_tokens + self._idle_tokens > cache_tokens
         ):
             self._pop(next(iter(self._idle)))
 
-    def _shed(self, cache_tokens: int) -> None:
-        """Keeps no room for what the engine must evict to serve the others.
+    def _deactivate_overflow(self, cache_tokens: int) -> None:
+        """Deactivates programs until the active ones fit in the cache.
 
-        Contexts grow past what was there when their programs were admitted.
-        Were all still let in, each turn would evict another's prefix; so the
-        one unused for longest, which the engine evicts first, has to wait.
+        Contexts grow after their programs were admitted. If all stayed active,
+        each turn would evict the prefix of another program. The least recently
+        used program, which the engine evicts first, therefore has to wait.
         """
         while self.active_tokens > cache_tokens:
             for key, resident in self._active.items():
@@ -135,33 +146,33 @@
                 return
 
     def reconcile(self, held: Iterable[str], made_ms: int) -> None:
-        """Takes the engine's own list of what it holds at `made_ms`.
+        """Applies the engine's list of the prefixes that it held at `made_ms`.
 
-        A prefix that the engine has evicted would otherwise draw its program
-        back to a server that has to compute it anew.
+        Otherwise an evicted prefix would attract its program to a server that
+        has to prefill it again.
         """
-        names = set(held)
+        held_names = set(held)
         for table in (self._active, self._idle):
             for key, resident in table.items():
                 if resident.running or resident.last_used_ms >= made_ms:
                     continue
-                if f"{key.account}/{key.program}" in names:
+                if f"{key.account}/{key.program}" in held_names:
                     resident.missed_reports = 0
                     resident.cached = True
                     continue
                 resident.missed_reports += 1
-                if resident.missed_reports >= _MISSED_REPORTS:
+                if resident.missed_reports >= _MISSED_REPORTS_FOR_EVICTION:
                     resident.cached = False
 
     def record_cache_event(self, key: ProgramKey, held_tokens: int) -> None:
-        """Notes an engine's event: so much of a program is held now."""
+        """Applies an engine's event: `held_tokens` of a program are cached."""
         resident = self._active.get(key) or self._idle.get(key)
         if resident is not None and not resident.running:
             resident.cached = held_tokens > 0
             resident.missed_reports = 0
 
     def active_programs(self) -> list[tuple[ProgramKey, Resident]]:
-        """Returns the active programs, the longest unused first."""
+        """Returns the active programs, the least recently used first."""
         return list(self._active.items())
 
     def _pop(self, key: ProgramKey) -> Resident | None:
--- a/catkinpin/core/placement/servers.py
+++ b/catkinpin/core/placement/servers.py
@@ -1,4 +1,7 @@
-"""The leader's view of the backend servers, from late and lossy reports."""
+"""The leader's view of the backend servers, built from delayed reports.
+
+Reports arrive late and may be lost.
+"""
 
 from __future__ import annotations
 
@@ -13,20 +16,22 @@
 
     from catkinpin.core.messages import CacheEvents, ServerReport
 
-# A server that has not announced itself for this long gets no new work.
+# A server without a report for this long gets no new work.
 SILENT_AFTER_MS = 2_000
-_FORGET_AFTER_MS = 60_000
+# A server without a report for this long is removed.
+_REMOVE_AFTER_MS = 60_000
 
 
 @dataclasses.dataclass
 class Server:
-    """A backend server as last reported, and what was granted since.
+    """A backend server: its last report and the calls granted by this process.
 
     Attributes:
-        seen_ms: when the last report was made, on our monotonic clock.
-        granted: attempts that we granted and that have not finished.
-        others: running calls that we did not grant, as the reports suggest.
-        residents: the programs whose prefixes it is thought to hold.
+        report: The last report.
+        reported_ms: Time of the last report on the local monotonic clock.
+        granted: Unfinished attempts that this process granted.
+        foreign_calls: Calls granted by other processes, derived from reports.
+        residents: Program prefixes that the server is assumed to have cached.
     """
 
     report: ServerReport
@@ -37,7 +42,7 @@
 
     @property
     def ref(self) -> ServerRef:
-        """Names this incarnation of the server."""
+        """Reference to this incarnation of the server."""
         return ServerRef(
             server=self.report.server,
             incarnation=self.report.incarnation,
@@ -47,59 +52,59 @@
 
     @property
     def load(self) -> int:
-        """Running calls: what we granted, and what others did."""
+        """Calls on the server, granted by this process or by others."""
         return self.granted + self.foreign_calls
 
     def apply_report(self, report: ServerReport, made_ms: int) -> None:
-        """Takes in a newer report of the same incarnation.
+        """Applies a newer report of the same incarnation.
 
-        A report that claims to run more calls than fit is a lie: one broken
-        counter would keep a server idle for ever, beside callers that wait. It
-        counts for nothing. A report that claims too few changes nothing, as
-        what we granted counts in any case.
+        A report of more running calls than the capacity is false, and its
+        counts are ignored: a broken counter would otherwise keep a server idle
+        for ever while callers wait. A report of too few calls does no harm, as
+        the calls granted by this process count in any case.
         """
         self.report = report
         self.reported_ms = made_ms
-        honest = report.running <= report.capacity
-        foreign = report.running + report.waiting - self.granted
-        self.foreign_calls = max(0, foreign) if honest else 0
+        is_plausible = report.running <= report.capacity
+        not_granted = report.running + report.waiting - self.granted
+        self.foreign_calls = max(0, not_granted) if is_plausible else 0
         if report.kind == "model":
             self.residents.reconcile(report.held, made_ms)
 
 
 class ServerView:
-    """Every backend server that announced itself."""
+    """All backend servers that have reported."""
 
     def __init__(self) -> None:
         self.servers: dict[str, Server] = {}
-        # Names by what they serve, so that a choice looks at no other server.
+        # Servers by kind and target, so that a choice scans only these.
         self._by_target: dict[tuple[str, str], dict[str, Server]] = {}
 
     def apply_report(self, report: ServerReport, made_ms: int) -> None:
-        """Takes in a report made at `made_ms`; an older one is dropped."""
+        """Applies a report made at `made_ms`, unless a newer one is known."""
         known = self.servers.get(report.server)
         if known is None or known.report.incarnation != report.incarnation:
             if known is None or made_ms >= known.reported_ms:
-                self._forget(report.server)
-                self._remember(Server(report, made_ms))
+                self._remove(report.server)
+                self._add(Server(report, made_ms))
             return
         if made_ms < known.reported_ms:
             return
-        same = (
+        serves_same = (
             known.report.kind == report.kind
             and known.report.serves == report.serves
         )
-        if not same:
-            self._forget(report.server)
+        if not serves_same:
+            self._remove(report.server)
         known.apply_report(report, made_ms)
-        if not same:
-            self._remember(known)
+        if not serves_same:
+            self._add(known)
 
     def apply_cache_events(self, events: CacheEvents) -> None:
-        """Takes in what an engine says of its prefix cache.
+        """Applies an engine's events about its prefix cache.
 
-        Events that were lost leave the ledger wrong until the next report of
-        all that the engine holds.
+        After lost events the state is wrong until the next full report of the
+        engine's cache.
         """
         server = self.servers.get(events.server)
         if server is None or server.report.incarnation != events.incarnation:
@@ -114,30 +119,40 @@
         kind: str,
         target: str,
         now_ms: int,
-        without: tuple[str, ...] = (),
-        allowed: Callable[[ServerReport], bool] = lambda _: True,
-        only: str | None = None,
+        excluded: tuple[str, ...] = (),
+        is_allowed: Callable[[ServerReport], bool] = lambda _: True,
+        only_server: str | None = None,
     ) -> list[Server]:
-        """Returns the servers that may get new work for `target`.
-
-        With `only`, no other server is looked at.
+        """Returns the servers that may get new work.
+
+        Args:
+            kind: Kind of the calls.
+            target: Target of the calls.
+            now_ms: Monotonic time.
+            excluded: Names of excluded servers.
+            is_allowed: Returns whether a server may be used.
+            only_server: Name of the only server to consider; None for all.
         """
-        found = []
+        usable = []
         servers = self._by_target.get((kind, target), {})
-        if only is not None:
-            servers = {only: servers[only]} if only in servers else {}
+        if only_server is not None:
+            servers = (
+                {only_server: servers[only_server]}
+                if only_server in servers
+                else {}
+            )
         for name, server in servers.items():
-            if server.report.leaving or name in without:
+            if server.report.leaving or name in excluded:
                 continue
             if now_ms - server.reported_ms > SILENT_AFTER_MS:
                 continue
-            if not allowed(server.report):
+            if not is_allowed(server.report):
                 continue
-            found.append(server)
-        return found
+            usable.append(server)
+        return usable
 
     def silent_servers(self, now_ms: int) -> list[str]:
-        """Returns the servers that have not reported for some time."""
+        """Returns the names of the servers whose last report is too old."""
         return [
             name
             for name, server in self.servers.items()
@@ -145,23 +160,23 @@
         ]
 
     def has_server(self, kind: str, target: str) -> bool:
-        """Returns whether any known server, even a silent one, serves it."""
+        """Returns whether any server, even a silent one, serves the target."""
         return bool(self._by_target.get((kind, target)))
 
     def forget_silent(self, now_ms: int) -> None:
-        """Drops servers that have been silent for long."""
+        """Removes servers that have been silent for long."""
         for name, server in list(self.servers.items()):
-            if now_ms - server.reported_ms >= _FORGET_AFTER_MS:
-                self._forget(name)
+            if now_ms - server.reported_ms >= _REMOVE_AFTER_MS:
+                self._remove(name)
 
-    def _remember(self, server: Server) -> None:
+    def _add(self, server: Server) -> None:
         report = server.report
         self.servers[report.server] = server
         for target in report.serves:
             names = self._by_target.setdefault((report.kind, target), {})
             names[report.server] = server
 
-    def _forget(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         server = self.servers.pop(name, None)
         if server is None:
             return
--- a/catkinpin/core/placement/shortlist.py
+++ b/catkinpin/core/placement/shortlist.py
@@ -1,7 +1,8 @@
-"""Which of many servers are worth comparing for a request.
+"""Limits the number of servers whose costs are compared for a request.
 
-Weighing a server takes some 10 us. Among thousands a single choice would take
-longer than a turn may wait, and the leader makes one for each turn.
+Estimating the cost of one server takes about 10 us. With thousands of servers,
+a single choice would take longer than a turn may wait, and the leader makes
+one choice per turn.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
     from catkinpin.core.control.servers import Instance
     from catkinpin.core.requests.calls import PromptPart
 
-# Where a service has more servers, so many drawn by lot are compared, and so
-# many of those that hold the beginning of the prompt.
+# For a service with more servers, the number of random servers compared, and
+# of servers that have cached the beginning of the prompt.
 _MAX_COMPARED = 32
 _MAX_HOLDERS = 8
 
@@ -25,43 +26,46 @@
 def shortlist(
     servers: Collection[Instance],
     prompt: Sequence[PromptPart],
-    held: Callable[[str], Container[str]],
+    cached_parts: Callable[[str], Container[str]],
     rng: random.Random,
 ) -> Collection[Instance]:
     """Returns the servers to compare.
 
-    Some drawn by lot are nearly as good as the best of all, beside those that
-    hold most of the prompt.
+    The best of a random sample and of the servers that have cached most of the
+    prompt is nearly as good as the best of all.
 
     Args:
-        servers: of the service.
-        prompt: of the request; empty for plain services.
-        held: returns the prompt parts that a server seems to hold.
-        rng: draws.
+        servers: Servers of the service.
+        prompt: Prompt of the request; empty for plain services.
+        cached_parts: Returns the prompt parts that a server is assumed to have
+            cached.
+        rng: Random generator for the sample.
     """
     if len(servers) <= _MAX_COMPARED:
         return servers
-    listed = list(servers)
-    chosen = rng.sample(listed, _MAX_COMPARED)
+    all_servers = list(servers)
+    chosen = rng.sample(all_servers, _MAX_COMPARED)
     if not prompt:
         return chosen
     first = prompt[0].id
-    holders = [one for one in listed if first in held(one.id)]
-    # Of equal ones the first are taken, which must not be the same each time.
+    holders = [one for one in all_servers if first in cached_parts(one.id)]
+    # nlargest prefers the first of equal servers, so the order must vary.
     rng.shuffle(holders)
-    longest = heapq.nlargest(
+    best_holders = heapq.nlargest(
         _MAX_HOLDERS,
         holders,
-        key=lambda one: cached_tokens(held(one.id), prompt),
+        key=lambda one: cached_tokens(cached_parts(one.id), prompt),
     )
-    return {one.id: one for one in [*chosen, *longest]}.values()
+    return {one.id: one for one in [*chosen, *best_holders]}.values()
 
 
-def cached_tokens(held: Container[str], prompt: Sequence[PromptPart]) -> int:
-    """Returns the tokens at the beginning of a prompt that are held."""
+def cached_tokens(
+    cached_parts: Container[str], prompt: Sequence[PromptPart]
+) -> int:
+    """Returns the number of leading prompt tokens that are cached."""
     tokens = 0
     for part in prompt:
-        if part.id not in held:
+        if part.id not in cached_parts:
             break
         tokens += part.tokens
     return tokens
--- a/catkinpin/core/placement/unresponsive.py
+++ b/catkinpin/core/placement/unresponsive.py
@@ -1,10 +1,11 @@
-"""Plain servers that are unresponsive: noticed by one gateway, avoided by all.
-
-The pattern: a server takes requests and answers none, and its health is good.
-Each of many gateways sends it a call of its own before it knows, and where
-such a call may not be repeated each costs a program. So a gateway counts a
-server as unresponsive once a call takes many times the usual, long before its
-deadline, and the leader tells all gateways once two of them have said so.
+"""Detects unresponsive plain servers and shares them among the gateways.
+
+An unresponsive server accepts requests, answers none and still passes its
+health checks. Each of many gateways would lose a call of its own before it
+notices, and every call that must not be repeated costs a program. A gateway
+therefore counts a server as unresponsive once a call takes many times its
+usual time, long before the deadline. Once two gateways have reported a server,
+the leader informs all of them.
 """
 
 from __future__ import annotations
@@ -21,43 +22,47 @@
     from catkinpin.core.control.servers import Instance
     from catkinpin.core.placement.balance import Balancer
 
-# A call is overdue after so many times what its route usually takes, and not
-# before so long: a queue at a busy server takes some hundred ms.
-_OVERDUE_TIMES = 6.0
+# A call is overdue after this multiple of its route's usual time, but not
+# before the minimum: a queue at a busy server takes some hundred ms.
+_OVERDUE_FACTOR = 6.0
 _MIN_OVERDUE_MS = 350
-# Gateways that must have seen it, where there are as many.
+# Gateways that must report a server, if there are as many.
 _MIN_GATEWAYS = 2
-# What one gateway saw counts for so long.
-_SEEN_MS = 2_000
+# Lifetime of a gateway's report.
+_REPORT_LIFETIME_MS = 2_000
 
 
 @dataclasses.dataclass
-class _Call:
-    """A call that waits for its answer."""
+class _PendingCall:
+    """A call without an answer yet.
+
+    Attributes:
+        overdue_ms: Time from which the call is overdue.
+    """
 
     server: str
     overdue_ms: float
 
 
 class PendingCalls:
-    """Plain calls of one gateway that wait for their answers."""
+    """The plain calls of one gateway that have no answer yet."""
 
     def __init__(self) -> None:
-        self._calls: dict[str, _Call] = {}
+        self._calls: dict[str, _PendingCall] = {}
 
     def add(
         self, attempt: str, server: str, usual_ms: float, now_ms: int
     ) -> None:
-        """Notes that a call was sent."""
-        limit_ms = max(_MIN_OVERDUE_MS, _OVERDUE_TIMES * usual_ms)
-        self._calls[attempt] = _Call(server, now_ms + limit_ms)
+        """Adds a call that was sent."""
+        timeout_ms = max(_MIN_OVERDUE_MS, _OVERDUE_FACTOR * usual_ms)
+        self._calls[attempt] = _PendingCall(server, now_ms + timeout_ms)
 
     def remove(self, attempt: str) -> None:
-        """Notes that a call waits no more."""
+        """Removes a call that was answered or given up."""
         self._calls.pop(attempt, None)
 
     def overdue_servers(self, now_ms: int) -> set[str]:
-        """Returns servers that have an overdue call."""
+        """Returns the servers that have an overdue call."""
         return {
             call.server
             for call in self._calls.values()
@@ -72,57 +77,62 @@
     now_ms: int,
     until_ms: int,
 ) -> None:
-    """Has a balancer leave out unresponsive servers of a service.
+    """Ejects the unresponsive servers of a service from a balancer.
 
-    At most half of the ready servers are left out at once, and none where more
-    than half take many times the usual: then they are overloaded, and each
-    that is left out overloads the others, until all have been out in turn.
+    At most half of the ready servers are ejected at once. If more than half
+    are unresponsive, none is: they are overloaded, and each ejection would
+    overload the others until all had been ejected in turn.
 
     Args:
-        balancer: of the gateway.
-        unresponsive: servers, maybe of other services as well.
-        servers: of the service.
-        now_ms: monotonic time.
-        until_ms: until when they are left out.
+        balancer: Balancer of the gateway.
+        unresponsive: IDs of unresponsive servers, also of other services.
+        servers: Servers of the service.
+        now_ms: Monotonic time.
+        until_ms: End of the ejection.
     """
     ready = [s for s in servers if s.state is ServerState.READY]
     found = [s.id for s in ready if s.id in unresponsive]
     if 2 * len(found) > len(ready):
         return
-    out = balancer.ejected_servers(ready, now_ms)
-    room = len(ready) // 2 - len(out.difference(found))
-    found.sort(key=lambda server: server not in out)
-    for server in found[: max(0, room)]:
+    ejected = balancer.ejected_servers(ready, now_ms)
+    free_ejections = len(ready) // 2 - len(ejected.difference(found))
+    found.sort(key=lambda server: server not in ejected)
+    for server in found[: max(0, free_ejections)]:
         balancer.eject_until(server, until_ms)
 
 
 class UnresponsiveServers:
-    """What the leader has been told of unresponsive servers."""
+    """Collects the gateways' reports of unresponsive servers on the leader."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, dict[str, int]] = collections.defaultdict(dict)
+        self._reports: dict[str, dict[str, int]] = collections.defaultdict(dict)
 
     def reset(self) -> None:
-        """Forgets everything."""
-        self._seen.clear()
+        """Clears all reports."""
+        self._reports.clear()
 
     def report(
         self, gateway: str, servers: Collection[str], now_ms: int
     ) -> None:
-        """Takes what one gateway sees."""
+        """Records the servers that a gateway finds unresponsive."""
         for server in servers:
-            self._seen[server][gateway] = now_ms
+            self._reports[server][gateway] = now_ms
 
     def confirmed(self, gateways: int, now_ms: int) -> list[str]:
-        """Returns servers that enough gateways have seen unresponsive."""
-        since_ms = now_ms - _SEEN_MS
+        """Returns the servers that enough gateways have reported.
+
+        Args:
+            gateways: Number of gateways.
+            now_ms: Monotonic time.
+        """
+        oldest_ms = now_ms - _REPORT_LIFETIME_MS
         found = []
-        for server, seen in list(self._seen.items()):
-            recent = {g: at for g, at in seen.items() if at >= since_ms}
+        for server, seen in list(self._reports.items()):
+            recent = {g: at for g, at in seen.items() if at >= oldest_ms}
             if not recent:
-                del self._seen[server]
+                del self._reports[server]
                 continue
-            self._seen[server] = recent
+            self._reports[server] = recent
             if len(recent) >= min(_MIN_GATEWAYS, max(1, gateways)):
                 found.append(server)
         return sorted(found)
--- a/catkinpin/core/placement/waiting.py
+++ b/catkinpin/core/placement/waiting.py
@@ -1,4 +1,4 @@
-"""Order of the calls that wait for a server."""
+"""Queue of the calls that wait for a server, and its order."""
 
 from __future__ import annotations
 
@@ -17,40 +17,39 @@
 
 
 def least_attained(job: Job, now_ms: int) -> OrderKey:
-    """Orders calls by what their programs have been given.
+    """Returns the sort key of the least-attained-service order.
 
-    Programs under way hold engine memory, and sub-agents hold up a program
-    that does: both go before new programs. Among equals someone who waits at
-    a screen goes first, then the program that has been served least: nobody
-    knows how long a program will be, but one that has taken little so far is
-    likelier to end soon.
+    Started programs hold engine memory, and sub-agents block a program that
+    does, so both go before new programs. Among these, interactive calls go
+    first, then the program that has been served least: the length of a program
+    is unknown, but one that has used little so far is likelier to end soon.
     """
-    under_way = job.turns > 0 or job.parent != ""
-    served = job.attained_tokens + job.prompt_tokens
+    goes_first = job.turns > 0 or job.parent != ""
+    served_tokens = job.attained_tokens + job.prompt_tokens
     return (
         -job.priority,
-        0 if under_way else 1,
+        0 if goes_first else 1,
         0 if job.interactive else 1,
-        round(math.log2(1 + served)),
+        round(math.log2(1 + served_tokens)),
         now_ms,
     )
 
 
 @dataclasses.dataclass(order=True)
 class QueuedCall:
-    """A call that waits."""
+    """A call in the queue, ordered by its sort key and then its number."""
 
     order: OrderKey
     number: int
-    starves_ms: int = dataclasses.field(compare=False)
+    starved_at_ms: int = dataclasses.field(compare=False)
     job: Job = dataclasses.field(compare=False)
 
 
 class CallQueue:
-    """The calls that wait for the servers of one target, in order.
+    """The queued calls of one target, in order.
 
-    A call that has waited for the starvation bound, or for half the time that
-    its caller gives it, goes before all others.
+    A call is starved once it has waited for the starvation bound or for half
+    the time to its deadline. Starved calls go before all others.
     """
 
     def __init__(self, order: Ordering, starved_after_ms: int) -> None:
@@ -68,49 +67,51 @@
         return key in self._by_key
 
     def add(self, job: Job, now_ms: int) -> None:
-        """Lets a call wait."""
+        """Adds a call to the queue."""
         self._number += 1
         order = self._order(job, now_ms)
-        bound = self._starved_after_ms
+        starvation_ms = self._starved_after_ms
         if job.deadline_ms:
-            bound = min(bound, (job.deadline_ms - now_ms) // 2)
-        waiting = QueuedCall(order, self._number, now_ms + bound, job)
-        self._by_key[job.key] = waiting
-        bisect.insort(self._sorted, waiting)
+            starvation_ms = min(starvation_ms, (job.deadline_ms - now_ms) // 2)
+        queued = QueuedCall(order, self._number, now_ms + starvation_ms, job)
+        self._by_key[job.key] = queued
+        bisect.insort(self._sorted, queued)
 
     def remove(self, key: CallKey) -> None:
-        """Takes a call out."""
-        waiting = self._by_key.pop(key, None)
-        if waiting is None:
+        """Removes a call from the queue, if it is there."""
+        queued = self._by_key.pop(key, None)
+        if queued is None:
             return
-        if waiting in self._starved:
-            self._starved.remove(waiting)
+        if queued in self._starved:
+            self._starved.remove(queued)
         else:
-            del self._sorted[bisect.bisect_left(self._sorted, waiting)]
+            del self._sorted[bisect.bisect_left(self._sorted, queued)]
 
     def promote_starved(self, now_ms: int) -> None:
-        """Moves calls that have waited too long to the front."""
+        """Moves starved calls to the front."""
         starved = [
-            waiting for waiting in self._sorted if waiting.starves_ms <= now_ms
+            queued for queued in self._sorted if queued.starved_at_ms <= now_ms
         ]
         if not starved:
             return
-        gone = {waiting.number for waiting in starved}
-        self._sorted = [w for w in self._sorted if w.number not in gone]
-        self._starved += sorted(starved, key=lambda w: w.starves_ms)
+        starved_numbers = {queued.number for queued in starved}
+        self._sorted = [
+            w for w in self._sorted if w.number not in starved_numbers
+        ]
+        self._starved += sorted(starved, key=lambda w: w.starved_at_ms)
 
     def expired_jobs(self, now_ms: int) -> list[Job]:
-        """Returns the calls whose callers no longer wait."""
+        """Returns the calls whose deadline has passed."""
         return [
-            waiting.job
-            for waiting in self._by_key.values()
-            if 0 < waiting.job.deadline_ms <= now_ms
+            queued.job
+            for queued in self._by_key.values()
+            if 0 < queued.job.deadline_ms <= now_ms
         ]
 
     def starved_count(self) -> int:
-        """Returns how many calls have waited for the bound."""
+        """Returns the number of starved calls."""
         return len(self._starved)
 
     def __iter__(self) -> Iterator[Job]:
-        for waiting in [*self._starved, *self._sorted]:
-            yield waiting.job
+        for queued in [*self._starved, *self._sorted]:
+            yield queued.job
--- a/catkinpin/core/requests/__init__.py
+++ b/catkinpin/core/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, answers and event streams as the core sees them."""
+"""Requests, answers and event streams, independent of their transport."""
--- a/catkinpin/core/requests/calls.py
+++ b/catkinpin/core/requests/calls.py
@@ -1,4 +1,4 @@
-"""What a gateway must know of a request and of a server's answer."""
+"""Decoded requests and answers of a gateway."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     """A part of a prompt that other requests may share.
 
     Attributes:
-        id: the same for the same text after the same parts.
-        tokens: its length.
+        id: Identity of the part, equal for equal text after equal parts.
+        tokens: Length of the part.
     """
 
     id: str
@@ -20,24 +20,27 @@
 
 @dataclasses.dataclass(frozen=True)
 class RouteCall:
-    """A caller's request, decoded.
+    """A caller's request.
 
     Attributes:
-        attempt: identity of this request, never used twice.
-        deadline_ms: how long the caller waits from its arrival; 0: not said.
-        program: identity of the program, empty for a single request.
-        session: one line of turns of the program.
-        program_left_ms: until the whole program should be finished; 0: not
-            said.
-        budget: tokens that the whole program may generate; -1: no limit.
-        prompt_tokens: length of the prompt.
-        max_tokens: tokens that this request may generate.
-        prompt: its parts, in order.
-        previous: the turn that it continues, empty for a new chain.
-        affinity: requests with the same value do better on the same server.
-        resume_at: last event that the caller has; empty: from the start.
-        key_digest: of its API key, empty where there is none.
-        account: the client account that sent it, empty for none.
+        attempt: ID of this request, never used twice.
+        deadline_ms: Time that the caller waits from its arrival; 0 if not
+            given.
+        program: ID of the program, empty for a single request.
+        session: ID of one sequence of turns of the program.
+        program_left_ms: Time left for the whole program; 0 if not given.
+        budget: Tokens that the whole program may generate; -1 for no limit.
+        prompt_tokens: Length of the prompt.
+        max_tokens: Limit of the tokens that this request generates; 0 for a
+            plain call.
+        prompt: Parts of the prompt, in order.
+        previous: ID of the turn that it continues, empty for a new chain.
+        affinity: Affinity key; requests with the same key are faster on the
+            same server.
+        resume_at: ID of the last event that the caller received; empty to
+            start from the beginning.
+        key_digest: Digest of its API key, empty if there is none.
+        account: Client account that sent it, empty if there is none.
     """
 
     attempt: str
@@ -58,10 +61,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What a server says of its load.
+    """Load that a server reports.
 
     Attributes:
-        slots: requests that it runs at once.
+        running: Number of running requests.
+        waiting: Number of waiting requests.
+        slots: Number of requests that it can run concurrently.
     """
 
     running: int
@@ -71,13 +76,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnswerFacts:
-    """A server's answer, decoded.
+    """Metadata of a server's answer.
 
     Attributes:
-        attempt: request that it belongs to, empty where it names none.
-        is_sealed: whether the server vouches for it.
-        not_run: whether the server says that it didn't run the request.
-        load: None where it says nothing.
+        attempt: ID of the request that it answers, empty if it names none.
+        is_sealed: Whether the answer carries a seal of the server.
+        not_run: Whether the server declares that it did not run the request.
+        load: Load that the server reports, None if it reports none.
     """
 
     attempt: str
--- a/catkinpin/core/requests/events.py
+++ b/catkinpin/core/requests/events.py
@@ -1,20 +1,20 @@
-"""Reads a stream of server-sent events as its bytes pass."""
+"""Incremental parser for streams of server-sent events."""
 
 from __future__ import annotations
 
 import dataclasses
 
-# An empty line ends an event; lines end in LF or CR LF.
-_ENDS = (b"\n\n", b"\r\n\r\n")
+# An empty line ends an event; lines end with LF or CR LF.
+_EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """One event.
+    """A server-sent event.
 
     Attributes:
-        id: its number as it came, empty for none.
-        data: the data lines, joined by line feeds.
+        id: Value of its id field, unparsed; empty if there is none.
+        data: Its data lines, joined by line feeds.
     """
 
     id: str
@@ -22,32 +22,36 @@
 
 
 class EventReader:
-    """Splits bytes into whole events."""
+    """Splits a byte stream into complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def is_at_boundary(self) -> bool:
-        """Whether no event is half read."""
-        return not self._rest
+        """Whether no event is partially read."""
+        return not self._buffer
 
     def feed(self, data: bytes) -> tuple[list[Event], bytes]:
-        """Returns the events that are complete now, and their own bytes.
+        """Returns the events that are complete now, and their bytes.
 
-        Half an event stays here: passed on, it couldn't be taken back where
-        another server goes on in its place.
+        A partial event stays in the buffer. Once sent to the caller, it could
+        not be withdrawn if another server continues the stream.
         """
-        text = self._rest + data
-        ends = [text.rfind(mark) + len(mark) for mark in _ENDS if mark in text]
+        text = self._buffer + data
+        ends = [
+            text.rfind(mark) + len(mark)
+            for mark in _EVENT_TERMINATORS
+            if mark in text
+        ]
         end = max(ends, default=0)
-        whole, self._rest = text[:end], text[end:]
-        blocks = whole.replace(b"\r\n", b"\n").split(b"\n\n")
-        return [_event(block) for block in blocks if block], whole
+        complete, self._buffer = text[:end], text[end:]
+        blocks = complete.replace(b"\r\n", b"\n").split(b"\n\n")
+        return [_event(block) for block in blocks if block], complete
 
 
 def _event(block: bytes) -> Event:
-    number = ""
+    event_id = ""
     lines = []
     for line in block.split(b"\n"):
         name, _, value = line.partition(b":")
@@ -55,5 +59,5 @@
         if name == b"data":
             lines.append(value)
         elif name == b"id":
-            number = value.decode("latin-1")
-    return Event(number, b"\n".join(lines))
+            event_id = value.decode("latin-1")
+    return Event(event_id, b"\n".join(lines))
--- a/catkinpin/core/requests/splice.py
+++ b/catkinpin/core/requests/splice.py
@@ -1,9 +1,9 @@
-"""Joins the streams of several attempts so that no token comes twice.
+"""Joins the streams of several attempts without repeating tokens.
 
-A model call whose server was lost is generated anew elsewhere. Its caller may
-have part of the first answer already. The new answer is compared with that
-part and passed on from where it ends; if it differs, the caller's stream can't
-go on, for the two parts would not make one answer.
+If the server of a model call is lost, the answer is generated again on another
+server, while the caller may already have part of the first answer. The new
+answer is compared with that part and forwarded from its end. If it differs,
+the stream fails, as the two parts would not form one answer.
 """
 
 from __future__ import annotations
@@ -15,50 +15,52 @@
 from catkinpin.exceptions import DivergedError
 
 _Channel = tuple[int, int, str]
-_NO_CALL = -1
+_NO_TOOL_CALL = -1
 
 
 class StreamSplicer:
-    """What a caller has of an answer.
+    """Tracks the part of an answer that the caller has received.
 
     Attributes:
-        started: whether the caller has any event.
+        started: Whether the caller has received any event.
     """
 
     def __init__(self) -> None:
         self.started = False
         self._sent: dict[_Channel, str] = {}
-        self._left: dict[_Channel, str] = {}
-        self._first: dict[str, Any] = {}
-        self._again = False
+        self._unmatched: dict[_Channel, str] = {}
+        self._first_ids: dict[str, Any] = {}
+        self._is_regenerated = False
 
     def restart(self) -> None:
-        """Notes that the next event begins an answer generated anew."""
-        self._again = self.started
-        self._left = dict(self._sent)
+        """Prepares for the first event of a regenerated answer."""
+        self._is_regenerated = self.started
+        self._unmatched = dict(self._sent)
 
     def feed(self, data: bytes) -> bytes | None:
-        """Takes an event's data; returns what is new to the caller, or None.
+        """Returns the part of an event's data that the caller lacks, or None.
 
         Raises:
-            DivergedError: the answer differs from what the caller has.
+            DivergedError: If the answer differs from what the caller has.
         """
         chunk = msgspec.json.decode(data)
-        if not self._again:
-            self._note(chunk)
+        if not self._is_regenerated:
+            self._record(chunk)
             return data
-        kept = any([self._cut(choice) for choice in chunk.get("choices") or []])
-        if not kept and not chunk.get("usage"):
+        has_new = any(
+            [self._remove_sent(choice) for choice in chunk.get("choices") or []]
+        )
+        if not has_new and not chunk.get("usage"):
             return None
-        self._note(chunk)
+        self._record(chunk)
         for field in ("id", "created"):
-            if field in self._first:
-                chunk[field] = self._first[field]
+            if field in self._first_ids:
+                chunk[field] = self._first_ids[field]
         return msgspec.json.encode(chunk)
 
-    def _note(self, chunk: dict[str, Any]) -> None:
+    def _record(self, chunk: dict[str, Any]) -> None:
         if not self.started:
-            self._first = {
+            self._first_ids = {
                 field: chunk[field]
                 for field in ("id", "created")
                 if field in chunk
@@ -68,40 +70,45 @@
             for channel, _, _, text in _texts(choice):
                 self._sent[channel] = self._sent.get(channel, "") + text
 
-    def _cut(self, choice: dict[str, Any]) -> bool:
-        """Removes from a choice what was sent; returns whether any is left."""
-        kept = bool(choice.get("finish_reason"))
-        if kept and any(self._left.values()):
+    def _remove_sent(self, choice: dict[str, Any]) -> bool:
+        """Removes sent text from a choice; returns whether any is left."""
+        has_new = bool(choice.get("finish_reason"))
+        if has_new and any(self._unmatched.values()):
             raise DivergedError("the new answer is shorter")
         for channel, holder, field, text in _texts(choice):
-            left = self._left.get(channel, "")
-            common = min(len(left), len(text))
-            if left[:common] != text[:common]:
+            unmatched = self._unmatched.get(channel, "")
+            common = min(len(unmatched), len(text))
+            if unmatched[:common] != text[:common]:
                 raise DivergedError("the new answer has another text")
             if common:
-                self._left[channel] = left[common:]
+                self._unmatched[channel] = unmatched[common:]
             holder[field] = text[common:]
-            kept = kept or len(text) > common
-        return kept
+            has_new = has_new or len(text) > common
+        return has_new
 
 
 def _texts(
     choice: dict[str, Any],
 ) -> list[tuple[_Channel, dict[str, Any], str, str]]:
-    """Returns each text of a delta with its channel and where it stands."""
+    """Returns the texts of a choice's delta.
+
+    Returns:
+        For each text its channel, the object that holds it, the field of that
+        object, and the text itself.
+    """
     index = int(choice.get("index", 0))
     delta = choice.get("delta") or {}
-    found = [
-        ((index, _NO_CALL, field), delta, field, text)
+    texts = [
+        ((index, _NO_TOOL_CALL, field), delta, field, text)
         for field, text in delta.items()
         if isinstance(text, str) and field != "role"
     ]
     for part in delta.get("tool_calls") or []:
         call = int(part.get("index", 0))
         function = part.get("function") or {}
-        found += [
+        texts += [
             ((index, call, field), function, field, text)
             for field, text in function.items()
             if isinstance(text, str)
         ]
-    return found
+    return texts
