--- a/catkinpin/core/placement/assignment.py
+++ b/catkinpin/core/placement/assignment.py
@@ -131,8 +131,10 @@
         """Submits a call that is not yet in the log."""
         job = self._job(begin, None, None, now_ms + begin.deadline_ms, now_ms)
         decisions = self._scheduler.submit(job, now_ms)
-        own = [one for one in decisions if one.key == begin.key]
-        others = [one for one in decisions if one.key != begin.key]
+        own = [decision for decision in decisions if decision.key == begin.key]
+        others = [
+            decision for decision in decisions if decision.key != begin.key
+        ]
         outcomes = self.resolve(own, now_ms)
         if any(isinstance(outcome, Rejected) for outcome in outcomes):
             self._jobs.pop(begin.key, None)
--- a/catkinpin/core/placement/balance.py
+++ b/catkinpin/core/placement/balance.py
@@ -188,18 +188,22 @@
         """
         listed = shortlist(servers, call.prompt, self._cached_parts, self._rng)
         ready = [
-            one
-            for one in listed
-            if one.state is ServerState.READY and one.id not in avoid
+            instance
+            for instance in listed
+            if instance.state is ServerState.READY and instance.id not in avoid
+        ]
+        usable = [
+            instance
+            for instance in ready
+            if not self._is_ejected(instance, now_ms)
         ]
-        usable = [one for one in ready if not self._is_ejected(one, now_ms)]
         # If all are ejected, this gateway or the network may be at fault.
         usable = usable or ready
         mean_load = self._mean_load(usable, now_ms)
         origin = domain or self._domain
         choices = [
-            self._estimate(one, call, route, now_ms, mean_load, origin)
-            for one in usable
+            self._estimate(instance, call, route, now_ms, mean_load, origin)
+            for instance in usable
         ]
         if not choices:
             return None
@@ -300,7 +304,11 @@
         self, servers: Iterable[Instance], now_ms: int
     ) -> frozenset[str]:
         """Returns the IDs of those servers that are ejected now."""
-        out = (one.id for one in servers if self._is_ejected(one, now_ms))
+        out = (
+            instance.id
+            for instance in servers
+            if self._is_ejected(instance, now_ms)
+        )
         return frozenset(out)
 
     def forget(self, server: str) -> None:
@@ -408,9 +416,9 @@
     def _mean_load(self, servers: list[Instance], now_ms: int) -> float:
         """Returns the mean share of used slots of recently reported servers."""
         known = [
-            self.used_slot_share(one, now_ms)
-            for one in servers
-            if self._is_fresh(self._tracked(one), now_ms)
+            self.used_slot_share(instance, now_ms)
+            for instance in servers
+            if self._is_fresh(self._tracked(instance), now_ms)
         ]
         return sum(known) / len(known) if known else 0.0
 
--- a/catkinpin/core/placement/candidates.py
+++ b/catkinpin/core/placement/candidates.py
@@ -101,7 +101,9 @@
         cache_share: Share of each cache that this process may use; programs
             of other leaders, which are not visible here, use the rest.
     """
-    costs = [_cost(job, one, now_ms, model, cache_share) for one in servers]
+    costs = [
+        _cost(job, server, now_ms, model, cache_share) for server in servers
+    ]
     return sorted(
         costs, key=lambda cost: (cost.total_ms, cost.server.report.server)
     )
--- a/catkinpin/core/placement/limits.py
+++ b/catkinpin/core/placement/limits.py
@@ -38,7 +38,8 @@
 _AVERAGE_WEIGHT = 0.03
 # Safety factor on the estimated wait.
 _WAIT_SAFETY_FACTOR = 1.25
-# Number of waiting calls below which no wait is estimated.
+# Number of waiting calls below which no wait is estimated, as the sample is too
+# small.
 _MIN_WAITING_FOR_ESTIMATE = 16
 
 
@@ -268,9 +269,9 @@
 def backoff_ms(attempts: int, rng: random.Random) -> int:
     """Returns the delay before the next attempt.
 
-    The first retry goes to another server immediately. Later ones wait a
-    random time below a bound that doubles, so that calls that failed together
-    are not retried together.
+    The first retry goes to another server immediately. Later ones wait for a
+    random time between half of a bound and the bound, which doubles with each
+    attempt, so that calls that failed together are not retried together.
     """
     if attempts <= 1:
         return 0
--- a/catkinpin/core/placement/shortlist.py
+++ b/catkinpin/core/placement/shortlist.py
@@ -48,15 +48,21 @@
     if not prompt:
         return chosen
     first = prompt[0].id
-    holders = [one for one in all_servers if first in cached_parts(one.id)]
+    holders = [
+        instance
+        for instance in all_servers
+        if first in cached_parts(instance.id)
+    ]
     # nlargest prefers the first of equal servers, so the order must vary.
     rng.shuffle(holders)
     best_holders = heapq.nlargest(
         _MAX_HOLDERS,
         holders,
-        key=lambda one: cached_tokens(cached_parts(one.id), prompt),
+        key=lambda instance: cached_tokens(cached_parts(instance.id), prompt),
     )
-    return {one.id: one for one in [*chosen, *best_holders]}.values()
+    return {
+        instance.id: instance for instance in [*chosen, *best_holders]
+    }.values()
 
 
 def cached_tokens(
--- a/catkinpin/core/requests/events.py
+++ b/catkinpin/core/requests/events.py
@@ -35,8 +35,9 @@
     def feed(self, data: bytes) -> tuple[list[Event], bytes]:
         """Returns the events that are complete now, and their bytes.
 
-        A partial event stays in the buffer. Once sent to the caller, it could
-        not be withdrawn if another server continues the stream.
+        A partial event stays in the buffer: if half an event had been sent to
+        the caller, it could not be withdrawn when another server continues the
+        stream.
         """
         text = self._buffer + data
         ends = [
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""Which server a gateway picks, under the loads that it is made for."""
+"""Tests the server selection of a gateway under typical loads."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class PlacementTest(testtools.TestCase):
-    """Sessions, bursts and broken servers."""
+    """Selection for sessions, during bursts and with failing servers."""
 
-    def test_session_stays_where_its_prompt_was_read(self) -> None:
-        """A busy engine holds a session; an idle one holds nothing of it.
+    def test_session_stays_where_its_prompt_is_cached(self) -> None:
+        """Guards against moving a session from a busy server to an idle one.
 
-        Sent to the idle one, 14,000 tokens are read again, and all answers
-        that run there wait for it.
+        On the idle server, 14,000 tokens would be prefilled again, and all
+        answers that it generates would wait.
         """
         balancer = _balancer()
         servers = [_server(n) for n in range(3)]
@@ -52,12 +52,13 @@
         self.assertEqual("s1", choice.instance.id)
         self.assertEqual(14_280, choice.cached_tokens)
 
-    def test_server_not_heard_of_for_long_is_not_taken_for_idle(self) -> None:
-        """One of many gateways has no session at a server, and hears nothing.
+    def test_server_without_recent_report_is_not_assumed_idle(self) -> None:
+        """Guards against sessions that move to a server without recent reports.
 
-        All servers it does hear of are half full. Taken for idle, the silent
-        one draws session after session away from where their prompts lie, and
-        reads 14,000 tokens for each.
+        A gateway without requests to a server gets no load reports from it,
+        while the other servers are half full. If that server were assumed
+        idle, it would attract one session after the other and prefill 14,000
+        tokens for each.
         """
         balancer = _balancer()
         servers = [_server(n) for n in range(3)]
@@ -71,10 +72,10 @@
         self.assertEqual("s0", choice.instance.id)
 
     def test_full_server_is_left_for_an_idle_one(self) -> None:
-        """A burst has filled the engine that holds a session.
+        """Guards against a turn that waits at the full server of its session.
 
-        Its turn would wait behind twenty others, longer than reading its
-        prompt anew takes elsewhere.
+        After a burst the turn would wait behind twenty others, which takes
+        longer than another prefill of its prompt on an idle server.
         """
         balancer = _balancer()
         servers = [_server(n) for n in range(2)]
@@ -86,9 +87,10 @@
         self.assertEqual("s1", choice.instance.id)
 
     def test_many_gateways_do_not_all_pick_the_same_server(self) -> None:
-        """Nine gateways hear the same load, in which one server looks idle.
+        """Guards against gateways that all choose the same server.
 
-        By that word alone all of the next requests would go there.
+        Nine gateways get the same load reports. By these alone, all of them
+        would send their next requests to the same server.
         """
         servers = [_server(n) for n in range(4)]
         counts = dict.fromkeys((s.id for s in servers), 0)
@@ -107,7 +109,10 @@
         self.assertLess(max(counts.values()), 1.5 * 72 / 4)
 
     def test_near_server_is_picked_until_it_is_busy(self) -> None:
-        """The other region costs the way; a queue here costs more."""
+        """Guards against a queue here beside an idle server in another region.
+
+        A server in another region adds network delay, but less than a queue.
+        """
         balancer = _balancer()
         near, far = _server(1), _server(2, "far")
         call = RouteCall(attempt="x", max_tokens=500)
@@ -122,7 +127,7 @@
     def test_server_that_cannot_be_reached_gets_nothing_for_a_while(
         self,
     ) -> None:
-        """A server has crashed; always idle, it would attract all work."""
+        """Guards against a crashed server that looks idle and attracts work."""
         balancer = _balancer()
         servers = [_server(n) for n in range(2)]
         balancer.record_failure(servers[0], 0, immediate=True)
@@ -138,9 +143,10 @@
         self.assertIn("s0", later)
 
     def test_all_servers_are_tried_where_all_have_failed(self) -> None:
-        """The way to all of them was cut for a moment.
+        """Guards against refusing all requests after a network interruption.
 
-        Left out for seconds, a healthy service would refuse everything.
+        All servers of a healthy service have failed and would stay ejected for
+        seconds.
         """
         balancer = _balancer()
         servers = [_server(n) for n in range(2)]
@@ -149,14 +155,15 @@
         self.assertIsNotNone(balancer.pick(servers, _turn("x"), 10))
 
     def test_draining_server_gets_nothing(self) -> None:
-        """A server says that it leaves; work sent now would be cut off."""
+        """Guards against requests to a server that is about to stop."""
         draining = instance("s9", state=ServerState.DRAINING, sequence=2)
         self.assertIsNone(_balancer().pick([draining], _turn("x"), 0))
 
     def test_absurd_load_changes_nothing(self) -> None:
-        """A server says that a million requests run there, or less than none.
+        """Guards against load reports with absurd or negative counts.
 
-        Believed, it would get nothing for as long as the word counts, or all.
+        If they counted, the server would get no requests until the report
+        expires, or all of them.
         """
         balancer = _balancer()
         servers = [_server(n) for n in range(2)]
@@ -166,12 +173,13 @@
         balancer.report_load(servers[1], Load(6, 0, 12), 0)
         self.assertEqual(0.0, balancer.used_slot_share(servers[0], 10))
 
-    def test_prompts_stay_where_they_lie_if_reading_is_slow(self) -> None:
-        """An engine reads 20 tokens a ms, another service's reads 300.
+    def test_session_stays_if_prefill_is_slow(self) -> None:
+        """Guards against a choice that ignores the learned prefill speed.
 
-        Eight requests run beside a session of 3,000 tokens, none at the other
-        server; beside them it takes, and costs them, 80 ms more. Read again
-        on the slow engines it costs 150 ms, on the fast ones 10 ms.
+        Engines prefill 20 tokens per ms in one service and 300 in another. The
+        server of a session of 3,000 tokens runs eight requests, the other
+        server none. Running beside them costs 80 ms in total. Another prefill
+        costs 150 ms on the slow engines and 10 ms on the fast ones.
         """
         for per_ms, wanted in ((20, "s0"), (300, "s1")):
             balancer = _balancer(_learned(per_ms))
@@ -188,12 +196,14 @@
 
 
 def _learned(per_ms: float) -> Speeds:
-    """Returns what answers of engines with this reading speed have taught."""
-    found = Speeds()
+    """Returns speeds learned from engines that prefill `per_ms` tokens/ms."""
+    learned_speeds = Speeds()
     for number in range(64):
         tokens = 200 + 50 * number
         beside = number % 8
         gaps = [1.0 + 0.05 * beside] * 5
-        told = StreamTimings(tokens, 20 + tokens / per_ms, gaps, beside, 0)
-        found.record_stream("models", f"s{number % 2}", 1, told, number)
-    return found
+        timings = StreamTimings(tokens, 20 + tokens / per_ms, gaps, beside, 0)
+        learned_speeds.record_stream(
+            "models", f"s{number % 2}", 1, timings, number
+        )
+    return learned_speeds
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Splitting a stream into events."""
+"""Tests splitting a stream into events."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class EventReaderTest(testtools.TestCase):
-    """Bytes of events that come in any pieces."""
+    """Events whose bytes arrive in pieces of any size."""
 
     def test_pieces_of_any_size_give_the_same(self) -> None:
-        """The network cuts a stream anywhere, also within a line's end."""
+        """Guards against lost events if a piece ends within a line ending."""
         text = (
             b"id: 1\ndata: one\n\n"
             b"id: 2\r\ndata: two\r\ndata: more\r\n\r\n"
@@ -19,23 +19,23 @@
         )
         for size in range(1, len(text) + 1):
             reader = EventReader()
-            found = []
+            events_read = []
             raw = b""
             for start in range(0, len(text), size):
                 events, passed = reader.feed(text[start : start + size])
-                found += events
+                events_read += events
                 raw += passed
-            self.assertEqual(["1", "2", "3"], [e.id for e in found])
-            data = [e.data for e in found]
+            self.assertEqual(["1", "2", "3"], [e.id for e in events_read])
+            data = [e.data for e in events_read]
             self.assertEqual([b"one", b"two\nmore", b"three"], data)
             self.assertEqual(text, raw)
             self.assertTrue(reader.is_at_boundary)
 
     def test_half_an_event_is_kept_back(self) -> None:
-        """A server breaks off in the middle of an event.
+        """Guards against forwarding half an event.
 
-        Passed on, that half would stand before the whole one that another
-        server sends in its place.
+        A server fails in the middle of an event. The caller would get that
+        half before the complete event from another server.
         """
         reader = EventReader()
         events, raw = reader.feed(b"id: 1\ndata: one\n\nid: 2\nda")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits, retry budgets and ejection under overload and failing servers."""
+"""Tests limits, retry budgets and ejection under overload and failures."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class AdmissionTest(base.TestCase):
-    """What would be answered late is refused early."""
+    """Calls that would be answered late are refused immediately."""
 
     def test_burst_after_a_quiet_time_is_admitted(self) -> None:
-        """Calls come rarely, and then a hundred at once.
+        """Guards against a burst refused because of a quiet time before it.
 
-        The answers of the quiet time say nothing of how fast a queue empties;
-        the user of the burst gets no refusal on their account.
+        Calls arrive rarely, then a hundred at once. The answers of the quiet
+        time do not show how fast a queue drains.
         """
         admission = limits.Admission()
         scope = limits.Scope(limits.DEPLOYMENT, "d", Limits())
@@ -35,9 +35,10 @@
             admission.add_call(_key(number), [scope], now + 200)
 
     def test_call_that_would_be_late_is_refused_with_a_time(self) -> None:
-        """Callers come faster than servers answer.
+        """Guards against calls that wait in vain during overload.
 
-        A caller who would wait in vain hears at once when to come back.
+        Calls arrive faster than servers answer. A call that would miss its
+        deadline is refused with the time after which to retry.
         """
         admission = limits.Admission()
         scope = limits.Scope(limits.DEPLOYMENT, "d", Limits())
@@ -46,9 +47,9 @@
         for number in range(200):
             admission.mark_running(_key(number), number * 10)
             admission.remove_call(_key(number), number * 10 + 5, answered=True)
-        down = admission.check([scope], 1_000, 2_000)
-        assert down is not None
-        self.assertGreaterEqual(down.retry_after_ms, 200)
+        denial = admission.check([scope], 1_000, 2_000)
+        assert denial is not None
+        self.assertGreaterEqual(denial.retry_after_ms, 200)
         self.assertIsNone(admission.check([scope], 60_000, 2_000))
 
     def test_queue_and_rate_of_an_account_are_bounded(self) -> None:
@@ -58,23 +59,23 @@
         for number in range(2):
             self.assertIsNone(admission.check([scope], 9_000, 0))
             admission.add_call(_key(number), [scope], 0)
-        down = admission.check([scope], 9_000, 0)
-        assert down is not None
-        self.assertIn("waiting", down.text)
+        denial = admission.check([scope], 9_000, 0)
+        assert denial is not None
+        self.assertIn("waiting", denial.text)
         self.assertTrue(admission.may_start([scope]))
         admission.mark_running(_key(0), 0)
         self.assertFalse(admission.may_start([scope]))
         admission.add_call(_key(2), [scope], 0)
         admission.remove_call(_key(1), 0, answered=False)
-        down = admission.check([scope], 9_000, 0)
-        assert down is not None
-        self.assertIn("calls a second", down.text)
+        denial = admission.check([scope], 9_000, 0)
+        assert denial is not None
+        self.assertIn("calls a second", denial.text)
         self.assertIsNone(admission.check([scope], 9_000, 1_000))
 
     def test_retries_are_a_share_of_first_attempts(self) -> None:
-        """Every server fails every call.
+        """Guards against retries that multiply the load of failing servers.
 
-        Retries add a fixed share to the load instead of multiplying it.
+        Every server fails every call, and retries add only a fixed share.
         """
         budget = limits.RetryBudget(share=0.1)
         retried = 0
@@ -85,35 +86,31 @@
 
 
 class OutlierTest(base.TestCase):
-    """A sick server gets no work, but never too many at once."""
+    """Failing servers are ejected, but never too many at once."""
 
-    def test_sick_server_is_ejected_and_comes_back_slowly(self) -> None:
-        """One server fails all its calls, and always looks idle.
+    def test_failing_server_is_ejected_and_returns_on_probation(self) -> None:
+        """Guards against a failing server that looks idle and attracts calls.
 
-        Callers notice a few retries and no more; once it works again it gets
-        one call at a time first.
+        After its recovery it gets one call at a time at first.
         """
-        found = ejection.OutlierDetector(random.Random(1))
+        outliers = ejection.OutlierDetector(random.Random(1))
         for number in range(10):
-            found.register(f"s{number}", "i")
+            outliers.register(f"s{number}", "i")
         for _ in range(ejection.CONSECUTIVE_FAILURES_TO_EJECT):
-            self.assertTrue(found.admits("s0", 0, 0))
-            found.record_failure("s0", 0)
-        self.assertFalse(found.admits("s0", 0, 1_000))
-        self.assertTrue(found.admits("s0", 0, 5_000))
-        self.assertFalse(found.admits("s0", 1, 5_000))
+            self.assertTrue(outliers.admits("s0", 0, 0))
+            outliers.record_failure("s0", 0)
+        self.assertFalse(outliers.admits("s0", 0, 1_000))
+        self.assertTrue(outliers.admits("s0", 0, 5_000))
+        self.assertFalse(outliers.admits("s0", 1, 5_000))
         for _ in range(5):
-            found.record_success("s0")
-        self.assertTrue(found.admits("s0", 3, 5_000))
+            outliers.record_success("s0")
+        self.assertTrue(outliers.admits("s0", 3, 5_000))
 
     def test_most_servers_stay_when_all_fail(self) -> None:
-        """The fault lies elsewhere, and every server seems to fail.
-
-        Ejecting all of them would turn failures into a standstill.
-        """
-        found = ejection.OutlierDetector(random.Random(1))
+        """Guards against ejecting all servers for a fault elsewhere."""
+        outliers = ejection.OutlierDetector(random.Random(1))
         for number in range(10):
-            found.register(f"s{number}", "i")
+            outliers.register(f"s{number}", "i")
         for number in range(100):
-            found.record_failure(f"s{number % 10}", 0)
-        self.assertLessEqual(len(found.ejected_servers(1)), 3)
+            outliers.record_failure(f"s{number % 10}", 0)
+        self.assertLessEqual(len(outliers.ejected_servers(1)), 3)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Lines under points that are spoilt, mostly upwards."""
+"""Tests the fit of lines to points with outliers, mostly upwards."""
 
 from __future__ import annotations
 
@@ -16,24 +16,27 @@
 
 
 class LineTest(testtools.TestCase):
-    """What is learned, and what is not."""
+    """Influence of the prior, of outliers and of the bounds."""
 
     def test_prior_holds_until_points_come(self) -> None:
         self.assertEqual(7.0, _line().value_at(10))
 
-    def test_line_lies_under_spoilt_points(self) -> None:
-        """Half of all answers took far longer than their size explains."""
+    def test_outliers_do_not_raise_the_line(self) -> None:
+        """Guards against a line raised by outliers in half of the points."""
         rng = random.Random(1)
         line = _line()
         for number in range(600):
             x = rng.uniform(0, 60)
-            spoilt = rng.uniform(20, 400) if number % 2 == 0 else 0.0
-            line.add(x, 6.0 + 0.05 * x + rng.uniform(-0.05, 0.05) + spoilt)
+            outlier = rng.uniform(20, 400) if number % 2 == 0 else 0.0
+            line.add(x, 6.0 + 0.05 * x + rng.uniform(-0.05, 0.05) + outlier)
         self.assertAlmostEqual(6.0, line.base, delta=1.0)
         self.assertAlmostEqual(0.05, line.slope, delta=0.04)
 
-    def test_burst_does_not_make_it_forget_idle_servers(self) -> None:
-        """After a calm minute, only crowded servers answer for a while."""
+    def test_burst_does_not_displace_points_of_idle_servers(self) -> None:
+        """Guards against losing the times of idle servers during a burst.
+
+        After a quiet period, all points come from busy servers.
+        """
         rng = random.Random(2)
         line = _line()
         for _ in range(60):
@@ -51,7 +54,7 @@
         self.assertAlmostEqual(0.5, line.slope)
         self.assertAlmostEqual(4.0, line.base)
 
-    def test_bounds_hold_whatever_comes(self) -> None:
+    def test_bounds_hold_for_any_points(self) -> None:
         prior = Prior(2.0, lambda x, y: 0.5, 3.0)
         line = Line(prior, Bounds(0.1, 50.0), Bounds(0.0, 2.0))
         for number in range(96):
--- a/tests/test_placed.py
+++ b/tests/test_placed.py
@@ -1,4 +1,4 @@
-"""A gateway and the server that the leader names for a turn."""
+"""Tests how a gateway uses the server that the leader selects for a turn."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 async def _ask_turns(rig: Rig) -> list[int]:
-    """Sends turns one after the other; returns their statuses."""
+    """Sends turns one after the other and returns their statuses."""
     return [(await rig.ask(f"q{n}", Program="p")).status for n in range(_TURNS)]
 
 
 class PlacedTest(GatewayCase):
-    """Turns go where the leader says, while that can be done."""
+    """Turns go to the leader's server while it can be used."""
 
     def test_turns_go_to_the_named_server(self) -> None:
-        """Guards against gateways that choose blindly beside the leader."""
+        """Guards against gateways that ignore the leader's choice."""
 
         async def work() -> None:
             rig = await _rig(streams, streams, streams, placed="s2")
@@ -43,7 +43,7 @@
         self.play(work())
 
     def test_named_server_that_is_not_known_here_is_left(self) -> None:
-        """Guards against turns that fail as this gateway's list is older."""
+        """Guards against turns that fail as the gateway's list is old."""
 
         async def work() -> None:
             rig = await _rig(streams, streams, placed="s9")
@@ -53,7 +53,7 @@
         self.play(work())
 
     def test_named_server_that_drains_gets_no_turn(self) -> None:
-        """Guards against turns on a server that is about to leave."""
+        """Guards against turns on a server that is about to stop."""
 
         async def work() -> None:
             rig = await _rig(streams, streams, placed="s0")
@@ -87,7 +87,7 @@
     def test_named_server_that_fails_here_is_left_after_some_turns(
         self,
     ) -> None:
-        """Guards against a leader that names a server this host can't use."""
+        """Guards against failures if this host cannot reach the server."""
 
         async def work() -> None:
             rig = await _rig(dies, streams, placed="s0")
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Which servers the leader names for turns, under the loads it is made for."""
+"""Tests the leader's server selection for turns under typical loads."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 
 
 class PlacerTest(testtools.TestCase):
-    """Bursts through many gateways, shared prompts, and broken ones."""
+    """Bursts through many gateways, shared prompts, and broken gateways."""
 
     def test_burst_through_many_gateways_spreads_over_all_engines(self) -> None:
-        """Guards against some engines with long queues while others idle."""
+        """Guards against long queues at some engines while others are idle."""
         placer, servers = _placer(), _servers()
         counts: collections.Counter[str] = collections.Counter()
         for n in range(300):
@@ -59,7 +59,7 @@
     def test_shared_prompts_are_read_by_few_engines_under_light_load(
         self,
     ) -> None:
-        """Guards against every engine reading every shared prompt."""
+        """Guards against every engine prefilling every shared prompt."""
         placer, servers = _placer(), _servers()
         read: set[tuple[str, str]] = set()
         for n in range(400):
@@ -72,7 +72,7 @@
         self.assertLessEqual(len(read), 40)
 
     def test_session_stays_at_the_server_that_holds_its_prompt(self) -> None:
-        """Guards against sessions whose prompts are read again at each turn."""
+        """Guards against sessions whose prompts are prefilled at each turn."""
         placer, servers = _placer(), _servers()
         turn = _turn("mine")
         last = servers[7]
@@ -102,7 +102,7 @@
         self.assertEqual(1, placer.running_turns)
 
     def test_turns_of_a_dead_gateway_expire(self) -> None:
-        """Guards against servers that seem full of turns nobody runs."""
+        """Guards against servers that seem full of turns that nobody runs."""
         placer, servers = _placer(), _servers()
         for n in range(50):
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, 0)
@@ -132,7 +132,7 @@
         self.assertNotIn(failing, chosen)
 
     def test_report_about_another_server_ejects_nothing(self) -> None:
-        """Guards against one broken gateway that blames every server."""
+        """Guards against one broken gateway that reports every server."""
         placer, servers = _placer(), _servers(4)
         everyone = [one.id for one in servers]
         named = placer.place("t0", _turn("s"), servers, None, 0)
@@ -146,7 +146,7 @@
         self.assertEqual(set(everyone), chosen)
 
     def test_implausible_speed_is_ignored(self) -> None:
-        """Guards against one gateway's figures that change all choices."""
+        """Guards against one gateway's false speeds that change all choices."""
         placer, servers = _placer(), _servers()
         for n in range(100):
             placer.place(f"t{n}", _turn("s"), servers, None, n)
@@ -163,23 +163,23 @@
         self.assertTrue(placer.place("u", _turn("u"), servers, None, 1))
 
     def test_no_server_is_named_where_there_is_none(self) -> None:
-        """Guards against a name that no gateway knows."""
+        """Guards against naming a server that no gateway knows."""
         self.assertEqual("", _placer().place("t", _turn("s"), [], None, 0))
 
 
 class ManyServersTest(testtools.TestCase):
-    """A service of thousands of engines, as hundreds of gateways need."""
+    """A service of thousands of engines, as for hundreds of gateways."""
 
     def test_placement_compares_few_of_thousands(self) -> None:
-        """Guards against a leader that spends its time weighing servers."""
+        """Guards against a leader that spends its time on cost estimates."""
         placer, servers = _placer(), _servers(2_400)
-        weighed = _count_weighed(placer)
+        estimated = _record_estimates(placer)
         for n in range(50):
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, n)
-        self.assertLess(len(weighed), 50 * 50)
+        self.assertLess(len(estimated), 50 * 50)
 
     def test_turn_stays_with_its_prompt_among_thousands(self) -> None:
-        """Guards against sessions whose prompts are read again each turn."""
+        """Guards against sessions whose prompts are prefilled each turn."""
         placer, servers = _placer(), _servers(2_400)
         for n in range(50):
             first = placer.place(f"a{n}", _turn(f"s{n}"), servers, None, n)
@@ -188,7 +188,7 @@
             self.assertEqual(first, again)
 
     def test_burst_spreads_among_thousands(self) -> None:
-        """Guards against queues at a few engines that hold shared prompts."""
+        """Guards against queues at few engines that cache shared prompts."""
         placer, servers = _placer(), _servers(2_400)
         counts: collections.Counter[str] = collections.Counter()
         for n in range(2_400):
@@ -197,15 +197,15 @@
         self.assertLessEqual(max(counts.values()), 6)
 
 
-def _count_weighed(placer: Placer) -> list[str]:
-    """Returns a list that grows by each server that is weighed."""
-    weighed: list[str] = []
+def _record_estimates(placer: Placer) -> list[str]:
+    """Returns a list to which each server is added when it is estimated."""
+    estimated: list[str] = []
     balancer = placer._balancer
-    weigh = balancer._estimate
+    estimate = balancer._estimate
 
-    def counted(instance: Instance, *args: Any) -> Any:
-        weighed.append(instance.id)
-        return weigh(instance, *args)
+    def recording(instance: Instance, *args: Any) -> Any:
+        estimated.append(instance.id)
+        return estimate(instance, *args)
 
-    setattr(balancer, "_estimate", counted)  # noqa: B010
-    return weighed
+    setattr(balancer, "_estimate", recording)  # noqa: B010
+    return estimated
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""How a placement becomes a choice in the log."""
+"""Tests the log record of a placement."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def _relays(entries: list[EntryRef]) -> dict[str, str]:
-    """Returns the relay of each program, for a server of another region."""
+    """Returns the relay of each program for a server in another region."""
     report = messages.ServerReport(
         server="berater-1",
         incarnation="1",
@@ -33,19 +33,19 @@
         domain="ge-a",
         region="ch-west",
     )
-    found = {}
+    relays = {}
     for number in range(_PROGRAMS):
         program = f"p{number}"
         key = CallKey(account="a", program=program, request_id="1")
         placed = assignment.Placed(key, servers.Server(report, reported_ms=0))
         caller = _entry(99, "ch-nord")
         choice = assignment.logged_choice(placed, caller, entries, priority=0)
-        found[program] = choice.dispatcher
-    return found
+        relays[program] = choice.dispatcher
+    return relays
 
 
 class RelayTest(base.TestCase):
-    """Which entry of the server's region relays."""
+    """Choice of the entry that relays calls in the server's region."""
 
     def test_programs_spread_over_the_entries_of_the_region(self) -> None:
         entries = [_entry(number, "ch-west") for number in range(3)]
@@ -55,10 +55,10 @@
         self.assertGreater(min(counts.values()), _PROGRAMS // 6)
 
     def test_only_the_programs_of_a_lost_entry_move(self) -> None:
-        """An entry of the server's region dies.
+        """Guards against programs that move after the loss of another entry.
 
-        The sessions that it did not relay keep the entry that holds their
-        history, and nothing of theirs crosses the link again.
+        Programs that the lost entry did not relay stay with the entry that has
+        their history, which is not sent between regions again.
         """
         entries = [_entry(number, "ch-west") for number in range(3)]
         before = _relays(entries)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Waiting, priorities and placement under load and with servers that fail."""
+"""Tests queueing, priorities and placement under load and server failures."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class SchedulerTest(base.TestCase):
-    """The scheduler on a view that the test reports into."""
+    """The scheduler on a view to which the test applies reports."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -72,9 +72,10 @@
         self.view.apply_report(_report(name, **fields), at_ms)
 
     def test_full_queue_refuses_at_once(self) -> None:
-        """More callers come than servers and queue hold.
+        """Guards against calls that wait without bound.
 
-        Those beyond the bound hear at once that their call did not run.
+        More calls arrive than the servers and the queue can take. Those beyond
+        the limit are rejected immediately.
         """
         calls = self.scheduler(max_waiting=2)
         placed = [calls.submit(_job(f"p{n}"), 0) for n in range(4)]
@@ -87,9 +88,10 @@
         self.assertGreater(refused.retry_after_ms, 0)
 
     def test_wait_ends_at_the_deadline(self) -> None:
-        """No server gets free while a caller waits.
+        """Guards against calls that stay queued after their deadline.
 
-        The caller is refused when its time is up, not left without answer.
+        No server becomes free. The call is rejected at its deadline, so that
+        its caller gets an answer.
         """
         for number in range(4):
             self.jobs.submit(_job(f"p{number}"), 0)
@@ -100,10 +102,11 @@
         self.assertEqual(Reason.DEADLINE, refused.reason)
 
     def test_contexts_of_active_programs_fit_in_the_cache(self) -> None:
-        """Programs with long histories come while an engine's memory is full.
+        """Guards against programs that evict one another's context.
 
-        Without a limit they evict one another and each turn gets slow; the
-        new one waits until one of them ends.
+        A program with a long history arrives while an engine's memory is full.
+        If it were admitted, every turn would become slow; it waits until
+        another program ends.
         """
         for number in range(2):
             job = _job(f"p{number}", 4_000)
@@ -117,10 +120,11 @@
         self.assertEqual({"new": "a"}, _places(self.jobs.tick(4)))
 
     def test_programs_that_never_end_leave_no_engine_idle(self) -> None:
-        """Callers stop calling and never say that their programs have ended.
+        """Guards against memory reserved for programs that never end.
 
-        Their room would keep others waiting for half a minute beside an idle
-        engine; after a short pause the new program gets it.
+        Callers stop without ending their programs. Their reservations would
+        keep other programs waiting for half a minute beside an idle engine; a
+        new program gets the memory after a short pause.
         """
         for number in range(2):
             job = _job(f"p{number}", 4_000)
@@ -133,10 +137,10 @@
         self.assertEqual({"new": "a"}, _places(self.jobs.tick(2_100)))
 
     def test_large_program_is_not_starved_by_small_ones(self) -> None:
-        """Small programs keep coming and take each bit of memory that frees.
+        """Guards against a large program that waits for ever.
 
-        A large one would wait for ever; once it has waited for the bound, no
-        other gets room before it.
+        Small programs keep arriving and take any memory that becomes free.
+        Once the large program is starved, no other gets memory before it.
         """
         calls = self.scheduler(starved_after_ms=1_000)
         for number in range(3):
@@ -153,10 +157,10 @@
         self.assertEqual(["large", "small"], list(placed))
 
     def test_call_of_one_deployment_does_not_hold_up_others(self) -> None:
-        """A deployment is limited to a server that is full.
+        """Guards against a deployment that blocks the queue of another.
 
-        Programs of another deployment that may use an idle server must not
-        wait behind it.
+        One deployment may only use a server that is full. Programs of another
+        deployment that may use an idle server must not wait behind it.
         """
         self.jobs.submit(_job("p0", 8_000), 0)
         drained = _job(
@@ -171,11 +175,12 @@
         self.report("b", 1)
         self.assertEqual({"other": "b"}, _places(self.jobs.tick(1)))
 
-    def test_reports_that_lie_neither_block_nor_overload(self) -> None:
-        """An engine's load counter is broken, far too high or always zero.
+    def test_false_reports_neither_block_nor_overload(self) -> None:
+        """Guards against engines with a broken load counter.
 
-        Too high, the server would stay idle beside callers that wait; at
-        zero, it would get more calls than it runs at once.
+        With a counter that is far too high, the server would stay idle while
+        callers wait; with one that is always zero, it would get more calls
+        than it can run.
         """
         self.report("a", 1, running=10_000, waiting=10_000)
         self.assertEqual({"p0": "a"}, _places(self.jobs.submit(_job("p0"), 1)))
@@ -186,9 +191,10 @@
         self.assertEqual(3, len(placed))
 
     def test_programs_of_a_silent_server_go_on_elsewhere(self) -> None:
-        """A server dies between the turns of its programs.
+        """Guards against programs that depend on a lost server.
 
-        Their next calls go to servers that live, spread over them.
+        A server crashes between the turns of its programs. Their next calls
+        spread over the remaining servers.
         """
         for number in range(4):
             job = _job(f"p{number}", 2_000)
@@ -202,11 +208,12 @@
             found += _places(self.jobs.submit(job, 5_001)).values()
         self.assertEqual(["b", "b", "c", "c"], sorted(found))
 
-    def test_leader_that_steps_down_gives_its_counts_back(self) -> None:
-        """Leadership of a shard moves while calls are under way.
+    def test_leader_that_steps_down_releases_its_counts(self) -> None:
+        """Guards against counts of a former leader that never end.
 
-        The other shards of the process share the view; what the former leader
-        counted there must not look like calls that never end.
+        The leadership of a shard moves while calls run. The other shards of
+        the process share the view, so the former leader's counts would block
+        the servers for them.
         """
         for number in range(4):
             self.jobs.submit(_job(f"p{number}", 2_000), 0)
@@ -216,10 +223,10 @@
         self.assertEqual({"q": "a"}, _places(other.tick(2)))
 
     def test_prefix_counts_as_lost_after_two_reports(self) -> None:
-        """Reports of what an engine holds have gaps.
+        """Guards against evictions assumed from one incomplete report.
 
-        One without a prefix is no proof; after the second the program may go
-        to a server that is less busy, as no time is saved by staying.
+        A single report without a prefix is no proof of its eviction. After the
+        second in a row, the program may move to a server with less load.
         """
         job = _job("p0", 4_000)
         self.jobs.submit(job, 0)
@@ -235,9 +242,10 @@
         self.assertEqual(0, residents.cached_tokens(key))
 
     def test_sub_agents_go_where_their_parents_prefix_is(self) -> None:
-        """A session starts sub-agents that share its history.
+        """Guards against sub-agents placed away from their parent.
 
-        On another server each of them would compute that history anew.
+        A session starts sub-agents that share its history. On another server,
+        each of them would prefill that history again.
         """
         parent = _job("p0", 4_000)
         self.jobs.submit(parent, 0)
@@ -245,11 +253,12 @@
         child = _job("p0/x", 4_100, parent="p0", shared_tokens=4_000)
         self.assertEqual({"p0/x": "a"}, _places(self.jobs.submit(child, 1)))
 
-    def test_bound_of_a_prompt_is_not_taken_for_its_size(self) -> None:
-        """Requests carry a bound in bytes, engines count a quarter of it.
+    def test_bound_of_a_prompt_is_not_used_as_its_size(self) -> None:
+        """Guards against using the upper bound of a prompt as its size.
 
-        By the bound, two sessions would fill a cache that holds eight, and
-        callers would wait beside an idle engine.
+        Requests carry an upper bound in bytes, and engines count a quarter of
+        it as tokens. By the bound, two sessions would fill a cache that holds
+        eight, and callers would wait beside an idle engine.
         """
         for number in range(200):
             job = _job(f"short{number}", 400)
@@ -263,7 +272,7 @@
 
 
 class ExplainTest(base.TestCase):
-    """`catkinpin explain` against real processes."""
+    """The command `catkinpin explain` with real processes."""
 
     def test_explain_shows_candidates_and_choice(self) -> None:
         self.run_async(self._explain())
@@ -285,7 +294,7 @@
 
 
 class BenchTest(base.TestCase):
-    """A short run of the bench."""
+    """A short run of the benchmark."""
 
     def test_run_is_the_same_for_a_seed(self) -> None:
         workload = workloads.kunci()
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -1,4 +1,4 @@
-"""What gateways learn of servers' speeds."""
+"""Tests how gateways learn the speeds of servers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from catkinpin.core.placement.speeds import Speeds, StreamTimings
 
 _TRUE = [
-    # Tokens read in a ms, ms a generated token, ms more for each beside.
+    # Prefilled tokens per ms, ms per generated token, and ms per generated
+    # token that each concurrent request adds.
     (50.7, 5.95, 0.0445),
     (145.0, 0.87, 0.04),
     (20.0, 10.0, 0.3),
@@ -22,7 +23,10 @@
     true: tuple[float, float, float],
     factor: float = 1.0,
 ) -> StreamTimings:
-    """Returns an answer; some prompts were not held, or read in between."""
+    """Returns timings of an answer, some of them with outliers.
+
+    The outliers stand for uncached prompts and for other prefills in between.
+    """
     per_ms, token_ms, beside_ms = true
     read = round(rng.lognormvariate(6.5, 0.7))
     beside = rng.randint(0, 12)
@@ -39,15 +43,18 @@
 def _learn(
     speeds: Speeds, answers: list[StreamTimings], server: str = "s1"
 ) -> None:
-    for number, told in enumerate(answers):
-        speeds.record_stream("models", server, 1, told, 100 * number)
+    for number, timings in enumerate(answers):
+        speeds.record_stream("models", server, 1, timings, 100 * number)
 
 
 class SpeedsTest(testtools.TestCase):
-    """Engines and plain services of all speeds, and ones that lie."""
+    """Engines and plain services of all speeds, and implausible timings."""
 
     def test_engines_of_all_speeds_are_learned(self) -> None:
-        """Services differ tenfold; a gateway hears some answers a second."""
+        """Guards against assumed speeds, as services differ tenfold.
+
+        A gateway gets only a few answers per second to learn from.
+        """
         for true in _TRUE:
             rng = random.Random(3)
             speeds = Speeds()
@@ -58,32 +65,35 @@
             self.assertTrue(0.8 < speed.token_ms / token_ms < 1.25, speed)
 
     def test_few_answers_already_tell_a_slow_engine(self) -> None:
-        """A gateway that has just started has heard a dozen answers."""
+        """Guards against gateways that learn too slowly after their start."""
         rng = random.Random(5)
         speeds = Speeds()
         _learn(speeds, [_answer(rng, _TRUE[0]) for _ in range(12)])
         self.assertTrue(3.0 < speeds.engine_speed("models").token_ms < 8.0)
 
-    def test_slow_server_is_told_from_its_service(self) -> None:
-        """One of four servers takes four times as long from now on.
+    def test_slow_server_is_distinguished_from_its_service(self) -> None:
+        """Guards against a slow server that distorts the speed of its service.
 
-        It must not make the service look slow, and must be known itself
-        within a few of its answers.
+        One of four servers becomes four times as slow. It must be detected
+        after a few of its answers.
         """
         rng = random.Random(7)
         speeds = Speeds()
         for number in range(400):
             server = f"s{number % 4}"
             slow = server == "s0" and number >= 200
-            told = _answer(rng, _TRUE[0], 4.0 if slow else 1.0)
-            speeds.record_stream("models", server, 1, told, 50 * number)
+            timings = _answer(rng, _TRUE[0], 4.0 if slow else 1.0)
+            speeds.record_stream("models", server, 1, timings, 50 * number)
         now_ms = 50 * 400
         self.assertTrue(speeds.slowdown("s0", now_ms) > 1.8)
         self.assertTrue(0.7 < speeds.slowdown("s1", now_ms) < 1.3)
         self.assertTrue(4.5 < speeds.engine_speed("models").token_ms < 8.0)
 
     def test_slow_server_gets_another_chance(self) -> None:
-        """It has recovered, but gets too little work to show it."""
+        """Guards against a slowdown that outlasts a server's recovery.
+
+        The recovered server gets too little work to show its speed.
+        """
         rng = random.Random(9)
         speeds = Speeds()
         _learn(speeds, [_answer(rng, _TRUE[0]) for _ in range(50)], "s2")
@@ -92,22 +102,22 @@
         self.assertTrue(before > 1.5)
         self.assertTrue(speeds.slowdown("s1", 23_000) < 1.2)
 
-    def test_next_life_of_a_server_starts_anew(self) -> None:
+    def test_new_incarnation_of_a_server_starts_without_slowdown(self) -> None:
         rng = random.Random(9)
         speeds = Speeds()
         _learn(speeds, [_answer(rng, _TRUE[0]) for _ in range(50)], "s2")
         _learn(speeds, [_answer(rng, _TRUE[0], 4.0) for _ in range(30)])
-        told = _answer(rng, _TRUE[0])
-        speeds.record_stream("models", "s1", 2, told, 3_000)
+        timings = _answer(rng, _TRUE[0])
+        speeds.record_stream("models", "s1", 2, timings, 3_000)
         self.assertTrue(speeds.slowdown("s1", 3_000) < 1.3)
 
-    def test_absurd_times_move_nothing_beyond_its_bounds(self) -> None:
-        """A clock stepped, a server tells gaps of a year or less than none."""
+    def test_absurd_times_move_no_value_beyond_its_bounds(self) -> None:
+        """Guards against absurd or negative times, as after a clock step."""
         speeds = Speeds()
         for number in range(96):
             gaps = [1e15 if number % 2 else -1e15] * 5
-            told = StreamTimings(10**12, -1e15, gaps, 10**6, 0)
-            speeds.record_stream("models", "s1", 1, told, number)
+            timings = StreamTimings(10**12, -1e15, gaps, 10**6, 0)
+            speeds.record_stream("models", "s1", 1, timings, number)
         speed = speeds.engine_speed("models")
         self.assertTrue(0.001 <= speed.read_ms <= 1.0)
         self.assertTrue(0.05 <= speed.token_ms <= 100.0)
@@ -115,7 +125,10 @@
         self.assertTrue(0.25 <= speeds.slowdown("s1", 96) <= 4.0)
 
     def test_plain_calls_are_known_by_route(self) -> None:
-        """A route's calls take 200 ms, some hang for a minute."""
+        """Guards against averages that a few hanging calls distort.
+
+        The calls of one route take 200 ms, but some hang for a minute.
+        """
         speeds = Speeds()
         for number in range(200):
             speeds.record_plain_call(
--- a/tests/test_unresponsive.py
+++ b/tests/test_unresponsive.py
@@ -1,6 +1,6 @@
-"""Plain servers that answer nobody.
+"""Tests the detection of unresponsive plain servers.
 
-The pattern: many gateways, each with few calls, before a server that hangs.
+Many gateways, each with few calls, share a server that hangs.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class WaitingCallsTest(base.TestCase):
-    """Calls of one gateway."""
+    """Pending calls of one gateway."""
 
     def test_server_is_unresponsive_while_a_call_is_overdue(self) -> None:
-        """Guards against calls to a server that has one hanging already."""
+        """Guards against further calls to a server where a call hangs."""
         waiting = PendingCalls()
         waiting.add("c1", "s1", 50.0, 0)
         self.assertEqual(set(), waiting.overdue_servers(300))
@@ -36,17 +36,17 @@
         waiting.remove("c1")
         self.assertEqual(set(), waiting.overdue_servers(400))
 
-    def test_slow_route_is_given_its_time(self) -> None:
-        """Guards against servers left out for calls that always take long."""
+    def test_slow_route_has_a_longer_timeout(self) -> None:
+        """Guards against ejecting servers for calls that always take long."""
         waiting = PendingCalls()
         waiting.add("c1", "s1", 400.0, 0)
         self.assertEqual(set(), waiting.overdue_servers(1_000))
 
 
 class UnresponsiveServersTest(base.TestCase):
-    """What the leader makes of it."""
+    """The reports of the gateways on the leader."""
 
-    def test_one_gateway_alone_condemns_no_server(self) -> None:
+    def test_one_gateway_alone_confirms_no_server(self) -> None:
         """Guards against a gateway whose own connections are broken."""
         unresponsive = UnresponsiveServers()
         unresponsive.report("g1", ["s1"], 0)
@@ -54,13 +54,13 @@
         unresponsive.report("g2", ["s1"], 100)
         self.assertEqual(["s1"], unresponsive.confirmed(50, 100))
 
-    def test_single_gateway_is_believed(self) -> None:
+    def test_report_of_a_single_gateway_counts(self) -> None:
         unresponsive = UnresponsiveServers()
         unresponsive.report("g1", ["s1"], 0)
         self.assertEqual(["s1"], unresponsive.confirmed(1, 0))
 
-    def test_old_reports_count_no_more(self) -> None:
-        """Guards against servers left out long after they are well."""
+    def test_old_reports_do_not_count(self) -> None:
+        """Guards against servers ejected long after their recovery."""
         unresponsive = UnresponsiveServers()
         unresponsive.report("g1", ["s1"], 0)
         unresponsive.report("g2", ["s1"], 0)
@@ -68,7 +68,7 @@
 
 
 class LeaveOutTest(base.TestCase):
-    """A burst of plain calls: all servers of a service are slow in turn."""
+    """Ejections while all servers of a service are slow in turn."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -78,42 +78,42 @@
         for server in self.servers:
             self.balancer.record_sent(server, RouteCall(attempt="c"))
 
-    def _leave_out(self, *found: str, now_ms: int = 0) -> set[str]:
+    def _eject(self, *found: str, now_ms: int = 0) -> set[str]:
         eject_unresponsive(
             self.balancer, found, self.servers, now_ms, now_ms + 500
         )
         return set(self.balancer.ejected_servers(self.servers, now_ms))
 
     def test_half_of_a_service_may_hang(self) -> None:
-        """Guards against calls lost at servers that are known to hang."""
-        self.assertEqual({"s0", "s1"}, self._leave_out("s0", "s1"))
+        """Guards against calls sent to servers that are known to hang."""
+        self.assertEqual({"s0", "s1"}, self._eject("s0", "s1"))
 
     def test_overloaded_service_keeps_all_its_servers(self) -> None:
-        """Guards against a burst that leaves the load to one server."""
-        self.assertEqual(set(), self._leave_out("s0", "s1", "s2"))
+        """Guards against a burst that directs the whole load to one server."""
+        self.assertEqual(set(), self._eject("s0", "s1", "s2"))
 
-    def test_servers_slow_in_turn_are_not_all_left_out(self) -> None:
+    def test_servers_slow_in_turn_are_not_all_ejected(self) -> None:
         """Guards against a burst that ejects one server after the other."""
-        self._leave_out("s0", "s1")
-        out = self._leave_out("s2", "s3", now_ms=100)
+        self._eject("s0", "s1")
+        out = self._eject("s2", "s3", now_ms=100)
         self.assertEqual({"s0", "s1"}, out)
 
-    def test_servers_that_leave_are_no_reason_to_keep_one(self) -> None:
-        """Guards against a count that takes servers in that get nothing."""
+    def test_draining_servers_do_not_count_as_ready(self) -> None:
+        """Guards against counting servers that get no work as ready."""
         leaving = [
             instance(f"s{number}", state=ServerState.DRAINING)
             for number in (2, 3)
         ]
         self.servers[2:] = leaving
-        self.assertEqual({"s0"}, self._leave_out("s0"))
-        self.assertEqual({"s0"}, self._leave_out("s1", now_ms=100))
+        self.assertEqual({"s0"}, self._eject("s0"))
+        self.assertEqual({"s0"}, self._eject("s1", now_ms=100))
 
 
 class AvoidTest(GatewayCase):
-    """Where calls go while a server hangs."""
+    """The choice of servers while one hangs."""
 
     def test_second_call_goes_elsewhere_while_the_first_hangs(self) -> None:
-        """Guards against call after call lost at one server."""
+        """Guards against losing one call after the other at a server."""
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, has_engine=False)
@@ -135,8 +135,8 @@
 
         self.play(work())
 
-    def test_all_servers_avoided_are_tried_all_the_same(self) -> None:
-        """Guards against refusals where the fault may be ours."""
+    def test_servers_are_tried_if_all_are_ejected(self) -> None:
+        """Guards against refusals when the gateway itself may be at fault."""
         balancer = Balancer("a", {"a": "r"}, random.Random(1), Speeds())
         servers = [instance("s1"), instance("s2")]
         call = RouteCall(attempt="c")
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""How urgent turns are, and what that does to a burst."""
+"""Tests the urgency of turns and its effect on a burst."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 _SLOTS = 10
 _BURST_MS = 6_000
 _END_MS = 30_000
-# Load beside the burst, as a part of what the slots can serve.
-_CALM = 0.75
+# Load outside the burst, as a share of the slots' capacity.
+_CALM_LOAD = 0.75
 _SEEDS = 8
 
 
-def _arrivals(over: float, rng: random.Random) -> list[int]:
-    """Returns when programs come: a burst, then a calm load."""
+def _arrivals(burst_load: float, rng: random.Random) -> list[int]:
+    """Returns the start times of programs: a burst, then a calm load."""
     mean_ms = _TURN_MS * (1 + _MAX_TURNS) / 2 / _SLOTS
-    found = []
+    starts = []
     at = 0.0
     while at < _END_MS:
-        load = over if at < _BURST_MS else _CALM
+        load = burst_load if at < _BURST_MS else _CALM_LOAD
         at += rng.expovariate(load / mean_ms)
-        found.append(int(at))
-    return found
+        starts.append(int(at))
+    return starts
 
 
 class _Program:
-    """A program of some turns, with so much time as its users allow."""
+    """A program with a number of turns and an allowed time."""
 
-    def __init__(self, began_ms: int, turns: int, allowed_x: float) -> None:
+    def __init__(self, began_ms: int, turns: int, time_factor: float) -> None:
         self.began_ms = began_ms
         self.turns = turns
-        self.allowed_ms = int(allowed_x * turns * _TURN_MS) + 250
+        self.allowed_ms = int(time_factor * turns * _TURN_MS) + 250
         self.lost_ms = 0
         self.done = 0
         self.ended_ms = 0
@@ -65,29 +65,36 @@
         return self.ended_ms - self.began_ms <= self.allowed_ms
 
 
-def _in_time(policy: _Policy, over: float, allowed_x: float) -> float:
-    """Returns the mean of `_play` over some seeds."""
-    played = [_play(policy, over, allowed_x, seed) for seed in range(_SEEDS)]
-    return sum(played) / _SEEDS
+def _mean_share_in_time(
+    policy: _Policy, burst_load: float, time_factor: float
+) -> float:
+    """Returns the mean of `_simulate` over several seeds."""
+    shares = [
+        _simulate(policy, burst_load, time_factor, seed)
+        for seed in range(_SEEDS)
+    ]
+    return sum(shares) / _SEEDS
 
 
-def _play(policy: _Policy, over: float, allowed_x: float, seed: int) -> float:
-    """Plays turns on slots that serve the most urgent first.
+def _simulate(
+    policy: _Policy, burst_load: float, time_factor: float, seed: int
+) -> float:
+    """Simulates turns on slots that serve the most urgent turn first.
 
     Returns:
-        The part of all turns whose programs ended within their allowed time.
+        The share of all turns whose programs ended within their allowed time.
     """
     rng = random.Random(seed)
     programs = [
-        _Program(at, rng.randint(1, _MAX_TURNS), allowed_x)
-        for at in _arrivals(over, rng)
+        _Program(at, rng.randint(1, _MAX_TURNS), time_factor)
+        for at in _arrivals(burst_load, rng)
     ]
-    free = [0] * _SLOTS
+    free_at_ms = [0] * _SLOTS
     waiting: list[tuple[int, int, int]] = []
     events = [(p.began_ms, number) for number, p in enumerate(programs)]
     heapq.heapify(events)
     while events or waiting:
-        now = max(free[0], events[0][0] if events and not waiting else 0)
+        now = max(free_at_ms[0], events[0][0] if events and not waiting else 0)
         while events and events[0][0] <= now:
             at, number = heapq.heappop(events)
             rank = policy(programs[number].program_status(at))
@@ -100,7 +107,7 @@
         program.lost_ms += start - at
         program.done += 1
         program.ended_ms = start + _TURN_MS
-        heapq.heapreplace(free, program.ended_ms)
+        heapq.heapreplace(free_at_ms, program.ended_ms)
         if program.done < program.turns:
             event = (program.ended_ms + _PAUSE_MS, number)
             heapq.heappush(events, event)
@@ -108,18 +115,21 @@
     return served / sum(p.turns for p in programs)
 
 
-def _all_alike(program_status: ProgramStatus) -> int:
-    """Ranks programs by nothing but whether they are in time."""
+def _rank_only_by_time(program_status: ProgramStatus) -> int:
+    """Ranks programs only by whether they are in time."""
     late = program_status.elapsed_ms > program_status.allowed_ms
     hopeless = program_status.elapsed_ms > 2 * program_status.allowed_ms
     return int(late) + int(hopeless)
 
 
 class UrgencyTest(testtools.TestCase):
-    """Turns ranked by their program's time."""
+    """Urgency of turns by the progress of their programs."""
+
+    def test_started_programs_go_before_new_and_late_ones(self) -> None:
+        """Guards against late programs that slow down those in time.
 
-    def test_programs_under_way_go_before_fresh_and_late_ones(self) -> None:
-        """Four programs wait: under way, fresh, behind, and past any use."""
+        The four programs are started and in time, new, late, and expired.
+        """
         ranks = [
             urgency.turn_urgency(
                 ProgramStatus(
@@ -144,8 +154,11 @@
             urgency.URGENCY_DEFAULT, urgency.turn_urgency(ProgramStatus())
         )
 
-    def test_late_program_is_behind_whatever_it_lost(self) -> None:
-        """Its tools took long; its turns lost nothing."""
+    def test_overdue_program_is_late_whatever_it_lost(self) -> None:
+        """Guards against a late program that counts as in time.
+
+        Its tools took long, but its turns lost no time.
+        """
         program_status = ProgramStatus(
             allowed_ms=1_000, elapsed_ms=1_100, turns=3
         )
@@ -153,29 +166,42 @@
             urgency.URGENCY_LATE, urgency.turn_urgency(program_status)
         )
 
-    def test_fresh_program_that_was_refused_for_long_is_behind(self) -> None:
-        """Its first turn was sent again and again until its slack was gone."""
+    def test_new_program_that_was_refused_for_long_is_late(self) -> None:
+        """Guards against a late program that counts as new.
+
+        Its first turn was refused and resent until its slack was used up.
+        """
         program_status = ProgramStatus(allowed_ms=1_000, elapsed_ms=500)
         self.assertEqual(
             urgency.URGENCY_LATE, urgency.turn_urgency(program_status)
         )
 
     def test_burst_leaves_more_programs_in_time(self) -> None:
-        """For 6 s programs come at 1.4 to 1.8 times what the slots can serve.
+        """Guards against programs that all lose their slack together.
 
-        With all that are in time alike, all lose their slack together, and
-        the backlog outlasts the burst by far.
+        For 6 s programs arrive at 1.4 to 1.8 times the capacity of the slots.
+        If all programs in time are equally urgent, the backlog lasts much
+        longer than the burst.
         """
-        for over in (1.4, 1.8):
-            for allowed_x in (1.5, 1.8, 2.2):
-                alike = _in_time(_all_alike, over, allowed_x)
-                ranked = _in_time(urgency.turn_urgency, over, allowed_x)
-                self.assertGreater(ranked, 1.1 * alike, (over, allowed_x))
+        for burst_load in (1.4, 1.8):
+            for time_factor in (1.5, 1.8, 2.2):
+                unranked = _mean_share_in_time(
+                    _rank_only_by_time, burst_load, time_factor
+                )
+                ranked = _mean_share_in_time(
+                    urgency.turn_urgency, burst_load, time_factor
+                )
+                self.assertGreater(
+                    ranked, 1.1 * unranked, (burst_load, time_factor)
+                )
 
     def test_lost_time_is_what_an_idle_server_would_not_have_taken(
         self,
     ) -> None:
-        """A turn of 200 tokens took a second, half of it in a queue."""
+        """Guards against lost time that includes prefill or generation.
+
+        A turn of 200 tokens took one second, half of it in a queue.
+        """
         prompt = (PromptPart("shared", 12_600), PromptPart("own", 1_450))
         call = RouteCall("x", prompt=prompt, prompt_tokens=14_050)
         speed = EngineSpeed(read_ms=1 / 145, token_ms=1.0)
@@ -183,11 +209,11 @@
         self.assertEqual(0, urgency.lost_ms(call, 200, 100, speed))
 
     def test_turns_of_a_slow_engine_do_not_count_as_late(self) -> None:
-        """An engine takes 6 ms a token, and nothing runs beside the turn.
+        """Guards against lost time computed with the speed of a fast engine.
 
-        Weighed by a fast engine's figures, each turn would seem to lose five
-        sixths of its time, and after a few turns all programs would be
-        behind: urgency would tell none of them from the others.
+        An idle engine takes 6 ms per token. By the figures of a fast engine,
+        each turn would seem to lose five sixths of its time, and after a few
+        turns all programs would be late and equally urgent.
         """
         call = RouteCall("x", prompt=(PromptPart("own", 1_000),))
         slow = EngineSpeed(read_ms=1 / 50, token_ms=6.0)
