--- a/catkinpin/core/placement/balance.py
+++ b/catkinpin/core/placement/balance.py
@@ -9,7 +9,7 @@
 causes to other requests. A request goes to the server that has cached its
 prompt, unless the queue there costs more than another prefill. If only the
 request's own latency counted, load would spread requests over the servers,
-prefills would multiply and every answer would become slower.
+prefills would multiply and every answer would slow down.
 
 Many gateways that decide at the same time: load reports are out of date when
 they are used, and choosing the least loaded server would send all gateways to
@@ -186,17 +186,13 @@
             route: Name of the route; its plain calls take similar times.
             domain: Failure domain of the request; empty for the gateway's.
         """
-        listed = shortlist(servers, call.prompt, self._cached_parts, self._rng)
+        subset = shortlist(servers, call.prompt, self._cached_parts, self._rng)
         ready = [
             instance
-            for instance in listed
+            for instance in subset
             if instance.state is ServerState.READY and instance.id not in avoid
         ]
-        usable = [
-            instance
-            for instance in ready
-            if not self._is_ejected(instance, now_ms)
-        ]
+        usable = [s for s in ready if not self._is_ejected(s, now_ms)]
         # If all are ejected, this gateway or the network may be at fault.
         usable = usable or ready
         mean_load = self._mean_load(usable, now_ms)
@@ -295,7 +291,7 @@
         return True
 
     def eject_until(self, server: str, until_ms: int) -> None:
-        """Ejects a server for reasons other than failures seen here."""
+        """Ejects a server that has not failed any request of this gateway."""
         known = self._servers.get(server)
         if known is not None:
             known.ejected_until_ms = max(known.ejected_until_ms, until_ms)
@@ -304,12 +300,8 @@
         self, servers: Iterable[Instance], now_ms: int
     ) -> frozenset[str]:
         """Returns the IDs of those servers that are ejected now."""
-        out = (
-            instance.id
-            for instance in servers
-            if self._is_ejected(instance, now_ms)
-        )
-        return frozenset(out)
+        ejected = (s.id for s in servers if self._is_ejected(s, now_ms))
+        return frozenset(ejected)
 
     def forget(self, server: str) -> None:
         """Removes the state of a server that is gone."""
--- a/catkinpin/core/placement/unresponsive.py
+++ b/catkinpin/core/placement/unresponsive.py
@@ -90,8 +90,8 @@
         now_ms: Monotonic time.
         until_ms: End of the ejection.
     """
-    ready = [s for s in servers if s.state is ServerState.READY]
-    found = [s.id for s in ready if s.id in unresponsive]
+    ready = [server for server in servers if server.state is ServerState.READY]
+    found = [server.id for server in ready if server.id in unresponsive]
     if 2 * len(found) > len(ready):
         return
     ejected = balancer.ejected_servers(ready, now_ms)
--- a/catkinpin/core/placement/waiting.py
+++ b/catkinpin/core/placement/waiting.py
@@ -96,9 +96,13 @@
             return
         starved_numbers = {queued.number for queued in starved}
         self._sorted = [
-            w for w in self._sorted if w.number not in starved_numbers
+            queued
+            for queued in self._sorted
+            if queued.number not in starved_numbers
         ]
-        self._starved += sorted(starved, key=lambda w: w.starved_at_ms)
+        self._starved += sorted(
+            starved, key=lambda queued: queued.starved_at_ms
+        )
 
     def expired_jobs(self, now_ms: int) -> list[Job]:
         """Returns the calls whose deadline has passed."""
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -200,9 +200,11 @@
     learned_speeds = Speeds()
     for number in range(64):
         tokens = 200 + 50 * number
-        beside = number % 8
-        gaps = [1.0 + 0.05 * beside] * 5
-        timings = StreamTimings(tokens, 20 + tokens / per_ms, gaps, beside, 0)
+        concurrent = number % 8
+        gaps = [1.0 + 0.05 * concurrent] * 5
+        timings = StreamTimings(
+            tokens, 20 + tokens / per_ms, gaps, concurrent, 0
+        )
         learned_speeds.record_stream(
             "models", f"s{number % 2}", 1, timings, number
         )
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -88,7 +88,7 @@
     def test_near_servers_come_first_while_they_are_idle(self) -> None:
         """Guards against prompts that cross the link between regions."""
         placer, servers = _placer(), _servers()
-        near = {one.id for one in servers if one.domain in "ab"}
+        near = {server.id for server in servers if server.domain in "ab"}
         for n in range(12):
             turn = _turn(f"session-{n}", f"shared-{n}")
             self.assertIn(placer.place(f"t{n}", turn, servers, None, n), near)
@@ -134,7 +134,7 @@
     def test_report_about_another_server_ejects_nothing(self) -> None:
         """Guards against one broken gateway that reports every server."""
         placer, servers = _placer(), _servers(4)
-        everyone = [one.id for one in servers]
+        everyone = [server.id for server in servers]
         named = placer.place("t0", _turn("s"), servers, None, 0)
         others = [name for name in everyone if name != named]
         placer.finish("t0", TurnReport(failed=others), 1)
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -29,15 +29,15 @@
     """
     per_ms, token_ms, beside_ms = true
     read = round(rng.lognormvariate(6.5, 0.7))
-    beside = rng.randint(0, 12)
-    gap_ms = (token_ms + beside_ms * beside) * factor
+    concurrent = rng.randint(0, 12)
+    gap_ms = (token_ms + beside_ms * concurrent) * factor
     gaps = [
         gap_ms + (rng.uniform(5, 60) if rng.random() < 0.15 else 0)
         for _ in range(rng.randint(2, 30))
     ]
-    spoilt = rng.uniform(20, 200) if rng.random() < 0.2 else 0.0
-    first_ms = 20 + (read / per_ms + token_ms) * factor + spoilt
-    return StreamTimings(read, first_ms, gaps, beside, 0)
+    outlier_ms = rng.uniform(20, 200) if rng.random() < 0.2 else 0.0
+    first_ms = 20 + (read / per_ms + token_ms) * factor + outlier_ms
+    return StreamTimings(read, first_ms, gaps, concurrent, 0)
 
 
 def _learn(
