--- a/catkinpin/core/placement/balance.py
+++ b/catkinpin/core/placement/balance.py
@@ -45,7 +45,7 @@
 # 1, because requests that arrive until the engine has caught up wait as well.
 _PREFILL_DELAY_WEIGHT = 3.0
 # Round trip to a server in another failure domain of the region, and to one in
-# another region. The latter includes the cost of the bytes transferred.
+# another region. Bytes between regions are costly as well.
 _CROSS_DOMAIN_MS = 3.0
 _CROSS_REGION_MS = 24.0
 # Load reports older than this are ignored.
--- a/catkinpin/core/placement/scheduler.py
+++ b/catkinpin/core/placement/scheduler.py
@@ -177,11 +177,11 @@
                 # other programs.
                 prefix_key = (job.key.account, job.target)
                 self._common_prefix_tokens[prefix_key] = usage.cached_tokens
-            counted = usage.prompt_tokens - job.stored_tokens
-            if job.prompt_bound_tokens and counted > 0:
+            counted_tokens = usage.prompt_tokens - job.stored_tokens
+            if job.prompt_bound_tokens and counted_tokens > 0:
                 previous = self._token_ratio.get(job.target, 1.0)
                 change = _TOKEN_RATIO_WEIGHT * (
-                    counted / job.prompt_bound_tokens - previous
+                    counted_tokens / job.prompt_bound_tokens - previous
                 )
                 self._token_ratio[job.target] = previous + change
             tokens = usage.prompt_tokens + usage.completion_tokens
@@ -198,10 +198,10 @@
 
     def restore_call(self, key: CallKey, server: str) -> None:
         """Restores a running call that a previous leader granted."""
-        found = self._view.servers.get(server)
-        self._running[key] = _Running(found)
-        if found is not None:
-            found.granted += 1
+        known = self._view.servers.get(server)
+        self._running[key] = _Running(known)
+        if known is not None:
+            known.granted += 1
 
     def release_all(self) -> None:
         """Releases all its counts on servers when its leader steps down.
@@ -261,15 +261,18 @@
         decisions: list[Decision] = []
         misses = 0
         starved = queue.starved_count()
-        # Skips calls that need at least as much memory as a call of the same
-        # deployment that did not fit.
+        # Size of the smallest call that did not fit, by deployment. Calls of
+        # the same size or larger would not fit either and are skipped.
         min_missed_tokens: dict[str, float] = collections.defaultdict(
             lambda: math.inf
         )
         for position, job in enumerate(list(queue)):
             needs_memory = self._needs_memory(job)
-            group = job.deployment
-            if needs_memory and job.prompt_tokens >= min_missed_tokens[group]:
+            deployment = job.deployment
+            if (
+                needs_memory
+                and job.prompt_tokens >= min_missed_tokens[deployment]
+            ):
                 continue
             usable = self._candidate_servers(job, now_ms)
             server = self._policy(job, usable, now_ms)
@@ -282,12 +285,12 @@
                 decisions.append(self._place(job, server, now_ms))
                 continue
             if needs_memory and not job.excluded_servers:
-                least = min(min_missed_tokens[group], job.prompt_tokens)
-                min_missed_tokens[group] = least
+                smallest = min(min_missed_tokens[deployment], job.prompt_tokens)
+                min_missed_tokens[deployment] = smallest
             # Freed memory is reserved for a starved call. Otherwise younger
             # calls that need less could keep it waiting for ever.
             if position < starved and needs_memory:
-                min_missed_tokens[group] = 0
+                min_missed_tokens[deployment] = 0
             misses += 1
             if misses >= options.max_misses:
                 break
@@ -300,7 +303,7 @@
         would take longer to compute it, this is the home server alone.
         """
         home = self._homes.get(job.key.program_key, "")
-        found = self._view.usable_servers(
+        home_servers = self._view.usable_servers(
             job.kind,
             job.target,
             now_ms,
@@ -308,8 +311,8 @@
             job.is_allowed,
             home,
         )
-        if found and self._prefers_home(job, found[0], now_ms):
-            return found
+        if home_servers and self._prefers_home(job, home_servers[0], now_ms):
+            return home_servers
         return self._view.usable_servers(
             job.kind, job.target, now_ms, job.excluded_servers, job.is_allowed
         )
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -118,8 +118,8 @@
 def _rank_only_by_time(program_status: ProgramStatus) -> int:
     """Ranks programs only by whether they are in time."""
     late = program_status.elapsed_ms > program_status.allowed_ms
-    hopeless = program_status.elapsed_ms > 2 * program_status.allowed_ms
-    return int(late) + int(hopeless)
+    expired = program_status.elapsed_ms > 2 * program_status.allowed_ms
+    return int(late) + int(expired)
 
 
 class UrgencyTest(testtools.TestCase):
@@ -185,14 +185,16 @@
         """
         for burst_load in (1.4, 1.8):
             for time_factor in (1.5, 1.8, 2.2):
-                unranked = _mean_share_in_time(
+                unranked_share = _mean_share_in_time(
                     _rank_only_by_time, burst_load, time_factor
                 )
-                ranked = _mean_share_in_time(
+                ranked_share = _mean_share_in_time(
                     urgency.turn_urgency, burst_load, time_factor
                 )
                 self.assertGreater(
-                    ranked, 1.1 * unranked, (burst_load, time_factor)
+                    ranked_share,
+                    1.1 * unranked_share,
+                    (burst_load, time_factor),
                 )
 
     def test_lost_time_is_what_an_idle_server_would_not_have_taken(
