--- a/bench/logbench.py
+++ b/bench/logbench.py
@@ -29,7 +29,7 @@
 from catkinpin.core.consensus.core import Core
 from catkinpin.core.consensus.messages import (
     Entry,
-    Kind,
+    EntryKind,
     Member,
     Members,
 )
@@ -187,7 +187,7 @@
         for first in range(1, count + 1, 1000):
             log.append(
                 [
-                    Entry(index, 1, Kind.DATA, payload)
+                    Entry(index, 1, EntryKind.DATA, payload)
                     for index in range(first, first + 1000)
                 ]
             )
--- a/catkinpin/adapters/disk/grouplog.py
+++ b/catkinpin/adapters/disk/grouplog.py
@@ -10,7 +10,7 @@
 from catkinpin.adapters.disk import logrecords
 from catkinpin.adapters.disk.logrecords import Base, Record, RecordType
 from catkinpin.core.consensus.messages import Entry, Members
-from catkinpin.core.consensus.state import Stored
+from catkinpin.core.consensus.state import StoredState
 from catkinpin.exceptions import DamagedLogError, StorageError
 
 if TYPE_CHECKING:
@@ -79,14 +79,14 @@
         """Index of the last entry."""
         return self.base + len(self._positions)
 
-    def stored(self, founders: Members) -> Stored:
+    def stored(self, founders: Members) -> StoredState:
         """Returns what a core starts from.
 
         Args:
             founders: the members, where no snapshot says otherwise.
         """
         members = self.members if self.members.members else founders
-        return Stored(
+        return StoredState(
             members=members,
             term=self.term,
             vote=self.vote,
--- a/catkinpin/adapters/disk/logrecords.py
+++ b/catkinpin/adapters/disk/logrecords.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from catkinpin import codec
-from catkinpin.core.consensus.messages import Entry, Kind, Members
+from catkinpin.core.consensus.messages import Entry, EntryKind, Members
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -42,7 +42,7 @@
     type: RecordType
     group: int
     payload: bytes | memoryview
-    kind: Kind = Kind.DATA
+    kind: EntryKind = EntryKind.DATA
     index: int = 0
     term: int = 0
     position: int = 0
@@ -109,7 +109,7 @@
     if zlib.crc32(payload, zlib.crc32(data[: _HEADER.size])) != crc:
         return None
     _, kind, _, _, index, term = _HEADER.unpack_from(data)
-    return Entry(index, term, Kind(kind), payload)
+    return Entry(index, term, EntryKind(kind), payload)
 
 
 def unpack_all(payload: memoryview, start: int) -> Iterator[Record]:
@@ -126,7 +126,7 @@
         end = begin + header[3]
         yield Record(
             type=RecordType(header[0]),
-            kind=Kind(header[1]),
+            kind=EntryKind(header[1]),
             group=header[2],
             index=header[4],
             term=header[5],
--- a/catkinpin/adapters/keeper/process.py
+++ b/catkinpin/adapters/keeper/process.py
@@ -49,7 +49,9 @@
 # All turns wait for an election, and a short program's slack is some 500 ms.
 # Between regions a heartbeat takes 16 ms there and back, a slow disk's sync
 # 150 ms: an election on either's account would cost more than it saves.
-_TIMING = Timing(heartbeat_ms=50, election_ms=400, lease_ms=330)
+_TIMING = Timing(
+    heartbeat_interval_ms=50, election_timeout_ms=400, lease_ms=330
+)
 # A lost disk is looked for so often; a scan of 10,000 turns takes some ms.
 _REPAIR_TICKS = 5
 # Plain requests are logged so often; a leader that is lost takes with it what
--- a/catkinpin/adapters/replica/founding.py
+++ b/catkinpin/adapters/replica/founding.py
@@ -25,7 +25,7 @@
 _NOTE_EVERY_MS = 10_000
 # Replicas that an operator repairs are listed whole in their settings: all
 # must answer, and an empty disk waits for the operator instead of a time.
-_REPAIRED_TIMING = types.Timing(quiet_ms=0)
+_REPAIRED_TIMING = types.FoundingTiming(empty_disks_wait_ms=0)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -82,7 +82,7 @@
         self._repair_asked = False
         self._others_founded = False
         self._founder = self._new_founder()
-        self._noted: types.Waiting | None = None
+        self._noted: types.WaitStatus | None = None
         self._noted_ms = 0
         self._since_ms = clock.elapsed_ms()
 
@@ -209,7 +209,7 @@
 
     def waits_for(self) -> list[str]:
         """Returns the addresses that have not answered."""
-        return list(self._founder.waiting(clock.elapsed_ms()).seeds)
+        return list(self._founder.wait_status(clock.elapsed_ms()).seeds)
 
     def _known_members(self) -> Members:
         return self._identity.founders or self._members()
@@ -258,18 +258,21 @@
         if self._identity.belongs:
             return
         now_ms = clock.elapsed_ms()
-        waiting = self._founder.waiting(now_ms)
-        if waiting == self._noted and now_ms - self._noted_ms < _NOTE_EVERY_MS:
+        wait_status = self._founder.wait_status(now_ms)
+        if (
+            wait_status == self._noted
+            and now_ms - self._noted_ms < _NOTE_EVERY_MS
+        ):
             return
-        self._noted, self._noted_ms = waiting, now_ms
+        self._noted, self._noted_ms = wait_status, now_ms
         metrics.FOUNDING_WAITS.clear()
-        for address in waiting.seeds:
+        for address in wait_status.seeds:
             metrics.FOUNDING_WAITS.labels(address).set(1)
         decisions.note(
             "founding",
             "",
-            waits_for=waiting.reason,
-            seeds=list(waiting.seeds),
+            waits_for=wait_status.reason,
+            seeds=list(wait_status.seeds),
             since_ms=now_ms - self._since_ms,
             empty=self._founder.record.empty,
         )
--- a/catkinpin/adapters/replica/groups.py
+++ b/catkinpin/adapters/replica/groups.py
@@ -12,7 +12,7 @@
 from catkinpin.adapters.disk import snapshots
 from catkinpin.adapters.replica import transfers, transport
 from catkinpin.core.consensus import commands, core, messages
-from catkinpin.core.consensus.messages import Kind, Members
+from catkinpin.core.consensus.messages import EntryKind, Members
 from catkinpin.exceptions import StorageError
 
 if TYPE_CHECKING:
@@ -142,7 +142,7 @@
         """Returns whether this replica may decide for the group now."""
         if self._core is None or not self._leading or self._node.is_full:
             return False
-        return self._core.serves(self._node.now_ms())
+        return self._core.holds_lease(self._node.now_ms())
 
     def is_current(self) -> bool:
         """Returns whether the state here is that of the present leader."""
@@ -232,7 +232,9 @@
         """Takes a heartbeat; returns whether a plain answer will do."""
         if self._core is None:
             return False
-        if self._core.renews(sender, heartbeat.term, heartbeat.commit, now_ms):
+        if self._core.accept_unchanged_heartbeat(
+            sender, heartbeat.term, heartbeat.commit, now_ms
+        ):
             return True
         self._core.step(sender, heartbeat, now_ms)
         self._node.wake(self)
@@ -361,7 +363,7 @@
                 self._send(to, message)
             case commands.Apply(first, last):
                 self._apply(first, last)
-            case commands.Lead(leading):
+            case commands.ReportLeadership(leading):
                 self._elected = leading
                 self._update_leadership()
             case commands.Fetch(sender, offer):
@@ -396,7 +398,7 @@
         for index in range(first, last + 1):
             entry = self.log.read(index)
             self._applied = index
-            if entry.kind is Kind.DATA:
+            if entry.kind is EntryKind.DATA:
                 self._machine.apply(index, entry.payload)
 
     def _begin_fetch(self, sender: str, offer: messages.SnapshotOffer) -> None:
--- a/catkinpin/adapters/replica/identity.py
+++ b/catkinpin/adapters/replica/identity.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from catkinpin.adapters.disk import files
-from catkinpin.core.consensus.foundingtypes import Record
+from catkinpin.core.consensus.foundingtypes import SeedRecord
 from catkinpin.core.consensus.messages import Ballot, Members, Proposal
 from catkinpin.exceptions import StorageError
 
@@ -78,10 +78,10 @@
         return tuple(self._file.seeds)
 
     @property
-    def record(self) -> Record:
+    def record(self) -> SeedRecord:
         """This replica's part in the founding."""
         file = self._file
-        return Record(not file.introduced, file.promised, file.accepted)
+        return SeedRecord(not file.introduced, file.promised, file.accepted)
 
     @property
     def belongs(self) -> bool:
@@ -99,7 +99,7 @@
         self._file.seeds = list(seeds)
         self._write()
 
-    def save(self, record: Record) -> None:
+    def save(self, record: SeedRecord) -> None:
         """Notes this replica's part in the founding."""
         self._file.promised = record.promised
         self._file.accepted = record.accepted
--- a/catkinpin/core/consensus/commands.py
+++ b/catkinpin/core/consensus/commands.py
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Lead:
+class ReportLeadership:
     """The replica may lead now, or leads no more."""
 
     leading: bool
@@ -98,5 +98,5 @@
     | Apply
     | Fetch
     | Restore
-    | Lead
+    | ReportLeadership
 )
--- a/catkinpin/core/consensus/core.py
+++ b/catkinpin/core/consensus/core.py
@@ -11,8 +11,8 @@
     membership,
     messages,
 )
-from catkinpin.core.consensus.messages import Kind
-from catkinpin.core.consensus.state import Role, State, Stored, Timing
+from catkinpin.core.consensus.messages import EntryKind
+from catkinpin.core.consensus.state import Role, State, StoredState, Timing
 
 if TYPE_CHECKING:
     import random
@@ -35,7 +35,7 @@
     def __init__(
         self,
         node: str,
-        stored: Stored,
+        stored: StoredState,
         rng: random.Random,
         now_ms: int,
         timing: Timing | None = None,
@@ -67,7 +67,7 @@
         """What this replica does in its term."""
         return self.state.role
 
-    def serves(self, now_ms: int) -> bool:
+    def holds_lease(self, now_ms: int) -> bool:
         """Returns whether this replica may decide and answer reads now.
 
         True only for a leader that holds a lease, so for one at a time, and
@@ -88,7 +88,7 @@
         if state.log.term_at(applied) != state.term:
             return False
         if state.role is Role.LEADER:
-            return self.serves(now_ms)
+            return self.holds_lease(now_ms)
         return bool(state.leader) and state.has_recent_heartbeat(now_ms)
 
     def tick(self, now_ms: int) -> None:
@@ -130,21 +130,25 @@
             case _:
                 assert_never(msg)
 
-    def renews(self, sender: str, term: int, commit: int, now_ms: int) -> bool:
+    def accept_unchanged_heartbeat(
+        self, sender: str, term: int, commit: int, now_ms: int
+    ) -> bool:
         """Takes a heartbeat of a leader that we follow, if nothing is new.
 
         Returns:
             Whether to answer with a plain `HeartbeatReply`; False where the
             heartbeat has to go through `step`.
         """
-        return following.renews(self.state, sender, term, commit, now_ms)
+        return following.accept_unchanged_heartbeat(
+            self.state, sender, term, commit, now_ms
+        )
 
     def propose(self, payload: bytes, now_ms: int) -> int:
         """Appends a record; returns its index, 0 where we don't lead."""
         state = self.state
         if state.role is not Role.LEADER or state.transfer_to:
             return 0
-        return leading.append(state, Kind.DATA, payload, now_ms)
+        return leading.append(state, EntryKind.DATA, payload, now_ms)
 
     def synced(self, index: int, term: int, now_ms: int) -> None:
         """Notes that the entries up to `index` are synced."""
--- a/catkinpin/core/consensus/following.py
+++ b/catkinpin/core/consensus/following.py
@@ -50,7 +50,7 @@
     state.commit_to(min(msg.commit, state.log.last))
 
 
-def renews(
+def accept_unchanged_heartbeat(
     state: State, sender: str, term: int, commit: int, now_ms: int
 ) -> bool:
     """Handles a heartbeat without news; returns False if it has news."""
--- a/catkinpin/core/consensus/founding.py
+++ b/catkinpin/core/consensus/founding.py
@@ -19,12 +19,12 @@
 from catkinpin.core.consensus.foundingtypes import (
     Command,
     Decided,
+    FoundingTiming,
     Introduction,
-    Record,
     Save,
+    SeedRecord,
     Send,
-    Timing,
-    Waiting,
+    WaitStatus,
 )
 from catkinpin.core.consensus.messages import (
     Accepted,
@@ -80,16 +80,16 @@
         node: str,
         address: str,
         seeds: tuple[str, ...],
-        record: Record,
+        record: SeedRecord,
         now_ms: int,
-        timing: Timing | None = None,
+        timing: FoundingTiming | None = None,
     ) -> None:
         self.node = node
         self.address = address
         self.seeds = tuple(sorted(set(seeds)))
         self.record = record
         self.knows_group = False
-        self._timing = timing or Timing()
+        self._timing = timing or FoundingTiming()
         self._presence = Presence(
             len(self.seeds), record.empty, self._timing.touch_ms
         )
@@ -163,21 +163,23 @@
         if now_ms >= max(turn_ms, self._next_ms):
             self._begin(now_ms)
 
-    def waiting(self, now_ms: int) -> Waiting:
+    def wait_status(self, now_ms: int) -> WaitStatus:
         """Returns what the founding waits for."""
         present = {self.address, *self._presence.nodes(now_ms)}
         away = tuple(a for a in self.seeds if a not in present)
         if self._is_copied(self._presence.nodes(now_ms)):
-            return Waiting("seeds with copies of one data folder", away)
+            return WaitStatus("seeds with copies of one data folder", away)
         if self._differing:
-            return Waiting("seeds name other seeds", tuple(self._differing))
+            return WaitStatus("seeds name other seeds", tuple(self._differing))
         if self._presence.kept(now_ms) >= self._majority():
-            return Waiting("seeds about to agree", away)
+            return WaitStatus("seeds about to agree", away)
         if self.knows_group:
-            return Waiting("a founded system of which no member answers", away)
+            return WaitStatus(
+                "a founded system of which no member answers", away
+            )
         if away:
-            return Waiting("too few seeds that kept their disks", away)
-        return Waiting("all disks are empty; anyone who knows a system")
+            return WaitStatus("too few seeds that kept their disks", away)
+        return WaitStatus("all disks are empty; anyone who knows a system")
 
     def take_output(self) -> list[Command]:
         """Returns the commands since the last call, in order."""
@@ -205,7 +207,7 @@
                 return complete
             return presence.majority_since_ms + self._timing.grace_ms
         if complete is not None and not self.knows_group:
-            return complete + self._timing.quiet_ms
+            return complete + self._timing.empty_disks_wait_ms
         return None
 
     # This seed's attempt.
@@ -371,6 +373,6 @@
             accepted=self.record.accepted,
         )
 
-    def _save(self, record: Record) -> None:
+    def _save(self, record: SeedRecord) -> None:
         self.record = record
         self._out.append(Save(record))
--- a/catkinpin/core/consensus/foundingtypes.py
+++ b/catkinpin/core/consensus/foundingtypes.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Timing:
+class FoundingTiming:
     """Times in ms.
 
     Attributes:
@@ -25,8 +25,8 @@
         resend_ms: a seed that has not answered is asked again so often.
         retry_ms: a seed lets those with lower addresses try so long before.
         grace_ms: a majority waits so long for the other seeds.
-        quiet_ms: all seeds wait so long for anyone who knows of a founded
-            system, where a majority of them has an empty disk.
+        empty_disks_wait_ms: all seeds wait so long for anyone who knows of a
+            founded system, where a majority of them has an empty disk.
     """
 
     touch_ms: int = 1_000
@@ -34,11 +34,11 @@
     resend_ms: int = 100
     retry_ms: int = 500
     grace_ms: int = 2_000
-    quiet_ms: int = 3_000
+    empty_disks_wait_ms: int = 3_000
 
 
 @dataclasses.dataclass(frozen=True)
-class Record:
+class SeedRecord:
     """What a seed keeps on its disk.
 
     Attributes:
@@ -73,7 +73,7 @@
 class Save:
     """Sync the record before anything that follows."""
 
-    record: Record
+    record: SeedRecord
 
 
 @dataclasses.dataclass(frozen=True)
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Waiting:
+class WaitStatus:
     """Why the system is not founded yet.
 
     Attributes:
--- a/catkinpin/core/consensus/leading.py
+++ b/catkinpin/core/consensus/leading.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from catkinpin.core.consensus import commands, messages, progress
-from catkinpin.core.consensus.messages import Entry, Kind
+from catkinpin.core.consensus.messages import Entry, EntryKind
 from catkinpin.core.consensus.progress import Progress
 from catkinpin.core.consensus.state import Role
 
@@ -28,19 +28,19 @@
     state.progress = {
         node: Progress(next=state.log.last + 1) for node in state.others()
     }
-    state.term_start = append(state, Kind.NOOP, b"", now_ms)
+    state.term_start = append(state, EntryKind.NOOP, b"", now_ms)
     state.mark_ms = now_ms
     state.mark_last = state.earlier_last = state.log.last
     _renew_lease(state, now_ms)
     tick(state, now_ms)
 
 
-def append(state: State, kind: Kind, payload: bytes, now_ms: int) -> int:
+def append(state: State, kind: EntryKind, payload: bytes, now_ms: int) -> int:
     """Appends an entry and returns its index."""
     entry = Entry(state.log.last + 1, state.term, kind, payload)
     state.log.append(entry)
     state.emit(commands.SaveEntries([entry]))
-    if kind is Kind.MEMBERS:
+    if kind is EntryKind.MEMBERS:
         _track_members(state, now_ms)
     return entry.index
 
@@ -55,7 +55,7 @@
     """Sends heartbeats when they are due and checks the quorum."""
     # All groups of a process beat at the same multiples of the interval, so
     # that one batch on each stream carries the beats of all of them.
-    beat = now_ms // state.timing.heartbeat_ms
+    beat = now_ms // state.timing.heartbeat_interval_ms
     if beat != state.beat:
         state.beat = beat
         for node, member in state.progress.items():
@@ -70,7 +70,7 @@
     # callers would wait for it instead of asking the next leader.
     reached = max(state.reached_ms, state.elected_ms)
     alone = len(state.log.voters) == 1
-    if now_ms - reached > state.timing.election_ms and not alone:
+    if now_ms - reached > state.timing.election_timeout_ms and not alone:
         state.follow(state.term, "", now_ms)
         return
     if state.transfer_to and now_ms > state.transfer_until_ms:
@@ -102,7 +102,7 @@
     member = _answered(state, sender, msg, now_ms)
     if member is None:
         return
-    quiet = now_ms - member.sent_ms > 2 * state.timing.heartbeat_ms
+    quiet = now_ms - member.sent_ms > 2 * state.timing.heartbeat_interval_ms
     if member.match < state.log.last and quiet:
         member.restart()
         _send_entries(state, sender, now_ms)
@@ -129,14 +129,14 @@
     state.commit_to(index)
     if not state.announced and index >= state.term_start:
         state.announced = True
-        state.emit(commands.Lead(True))
+        state.emit(commands.ReportLeadership(True))
     if not state.is_voter() and index >= state.log.members_index:
         state.follow(state.term, "", now_ms)
 
 
 def transfer(state: State, now_ms: int, address: str) -> bool:
     """Begins to hand over; returns whether there is anyone to take over."""
-    recent = now_ms - state.timing.election_ms
+    recent = now_ms - state.timing.election_timeout_ms
     voters = [
         (member.match, node)
         for node, member in state.progress.items()
--- a/catkinpin/core/consensus/log.py
+++ b/catkinpin/core/consensus/log.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from catkinpin import codec
-from catkinpin.core.consensus.messages import Kind, Members
+from catkinpin.core.consensus.messages import EntryKind, Members
 
 if TYPE_CHECKING:
     from catkinpin.core.consensus.messages import Entry
@@ -102,7 +102,7 @@
         assert entry.index == self.last + 1
         self._terms.append(entry.term)
         self._sizes.append(len(entry.payload))
-        if entry.kind is Kind.MEMBERS:
+        if entry.kind is EntryKind.MEMBERS:
             members = _members.decode(entry.payload)
             self._members.append(MembersAt(entry.index, members))
 
--- a/catkinpin/core/consensus/membership.py
+++ b/catkinpin/core/consensus/membership.py
@@ -8,7 +8,7 @@
 
 from catkinpin.core.consensus import leading
 from catkinpin.core.consensus.log import encode_members
-from catkinpin.core.consensus.messages import Kind, Member, Members
+from catkinpin.core.consensus.messages import EntryKind, Member, Members
 
 if TYPE_CHECKING:
     from catkinpin.core.consensus.state import State
@@ -73,7 +73,7 @@
         if node == state.node:
             continue
         last_seen_ms = max(state.progress[node].acked_ms, state.elected_ms)
-        if now_ms - last_seen_ms < timing.election_ms:
+        if now_ms - last_seen_ms < timing.election_timeout_ms:
             alive += 1
         elif now_ms - last_seen_ms > timing.silent_voter_ms:
             silent = state.log.members.find(node)
@@ -82,7 +82,7 @@
 
 def _mark(state: State, now_ms: int) -> None:
     """Notes how far the log was a while ago."""
-    if now_ms - state.mark_ms >= state.timing.election_ms // 2:
+    if now_ms - state.mark_ms >= state.timing.election_timeout_ms // 2:
         state.earlier_last = state.mark_last
         state.mark_ms = now_ms
         state.mark_last = state.log.last
@@ -116,7 +116,7 @@
     if member.node == state.node:
         return True
     last_seen_ms = state.progress[member.node].acked_ms
-    return now_ms - last_seen_ms < state.timing.election_ms
+    return now_ms - last_seen_ms < state.timing.election_timeout_ms
 
 
 def _may_change(state: State) -> bool:
@@ -127,4 +127,4 @@
 
 def _change(state: State, members: list[Member], now_ms: int) -> None:
     payload = encode_members(Members(members=members))
-    leading.append(state, Kind.MEMBERS, payload, now_ms)
+    leading.append(state, EntryKind.MEMBERS, payload, now_ms)
--- a/catkinpin/core/consensus/messages.py
+++ b/catkinpin/core/consensus/messages.py
@@ -9,7 +9,7 @@
 from catkinpin.codec import Message
 
 
-class Kind(enum.IntEnum):
+class EntryKind(enum.IntEnum):
     """What an entry carries.
 
     `NOOP` opens a leader's term: entries of earlier terms commit with it.
@@ -25,7 +25,7 @@
 
     index: int
     term: int
-    kind: Kind
+    kind: EntryKind
     payload: bytes
 
 
--- a/catkinpin/core/consensus/state.py
+++ b/catkinpin/core/consensus/state.py
@@ -17,7 +17,7 @@
 
 # Two clocks may run apart by this part of the time that they measure.
 CLOCK_DRIFT = 0.05
-# Parts of `election_ms` between two questions whether an election could be won.
+# Shares of `election_timeout_ms` between two rounds of pre-votes.
 # A refusal mostly means that the others' promise to the last leader has some
 # ms to run. A whole election's time until the next question cost a group that
 # had just lost its leader up to 2.1 s (seeded simulation).
@@ -45,12 +45,12 @@
     """Times in ms.
 
     A follower with a recent heartbeat lets no other be elected for
-    `election_ms` on its clock. The leader counts on that for `lease_ms` on
-    its own, so the lease must be shorter even where the clocks drift apart.
+    `election_timeout_ms` on its clock. The leader counts on that for `lease_ms`
+    on its own, so the lease must be shorter even where the clocks drift apart.
     """
 
-    heartbeat_ms: int = 100
-    election_ms: int = 600
+    heartbeat_interval_ms: int = 100
+    election_timeout_ms: int = 600
     lease_ms: int = 500
     offer_ms: int = 2_000
     transfer_ms: int = 1_000
@@ -62,12 +62,12 @@
 
     def __post_init__(self) -> None:
         longest = self.lease_ms * (1 + CLOCK_DRIFT) / (1 - CLOCK_DRIFT)
-        if longest >= self.election_ms:
-            raise ValueError("lease_ms is too long for election_ms")
+        if longest >= self.election_timeout_ms:
+            raise ValueError("lease_ms is too long for election_timeout_ms")
 
 
 @dataclasses.dataclass(frozen=True)
-class Stored:
+class StoredState:
     """What was found on the disk at start.
 
     Attributes:
@@ -96,14 +96,14 @@
         commit: last index known to be committed.
         applied: last index handed out to be applied.
         last_seen_ms: the last heartbeat of a leader; no other may be elected
-            within `election_ms` of it.
+            within `election_timeout_ms` of it.
         last_leader_term: the newest term of which that may have been.
         deadline_ms: when to stand for election.
         reached_ms: when a quorum last followed this leader, as it asked.
         lease_until_ms: end of this leader's lease.
         void_term: a term that this replica led in an earlier process, whose
             lease ended with that process; 0 for none.
-        announced: whether `Lead(True)` was handed out in this term.
+        announced: whether `ReportLeadership(True)` was handed out in this term.
         mark_ms: when `mark_last` was taken, by the leader.
         mark_last: last index of the log then.
         earlier_last: last index at the mark before that one.
@@ -112,7 +112,7 @@
     def __init__(
         self,
         node: str,
-        stored: Stored,
+        stored: StoredState,
         rng: random.Random,
         now_ms: int,
         timing: Timing,
@@ -184,7 +184,7 @@
 
     def reset_deadline(self, now_ms: int) -> None:
         """Puts the next election off by a random time."""
-        shortest = self.timing.election_ms
+        shortest = self.timing.election_timeout_ms
         self.deadline_ms = now_ms + self.rng.randint(shortest, 2 * shortest)
 
     def ask_again(self, now_ms: int) -> None:
@@ -196,14 +196,14 @@
         self._stand_after(now_ms, _VOTE_RETRY_SHARES)
 
     def _stand_after(self, now_ms: int, parts: tuple[float, float]) -> None:
-        wait_ms = self.timing.election_ms * self.rng.uniform(*parts)
+        wait_ms = self.timing.election_timeout_ms * self.rng.uniform(*parts)
         self.deadline_ms = now_ms + int(wait_ms)
 
     def has_recent_heartbeat(self, now_ms: int) -> bool:
         """Returns whether a leader may still hold a lease through us."""
         if self.role is Role.LEADER:
             return now_ms < self.lease_until_ms
-        return now_ms - self.last_seen_ms < self.timing.election_ms
+        return now_ms - self.last_seen_ms < self.timing.election_timeout_ms
 
     def is_promised(self, void_term: int, now_ms: int) -> bool:
         """Returns whether a leader's lease may count on our not voting.
@@ -244,7 +244,7 @@
         if self.role is Role.LEADER:
             self.reset_deadline(now_ms)
             if self.announced:
-                self.emit(commands.Lead(False))
+                self.emit(commands.ReportLeadership(False))
         self.role = Role.FOLLOWER
         self.announced = False
         self.lease_until_ms = _NEVER
--- a/tests/fakes/foundingsim.py
+++ b/tests/fakes/foundingsim.py
@@ -37,7 +37,7 @@
     """What outlives a process."""
 
     node: str
-    record: types.Record
+    record: types.SeedRecord
     founders: Members | None = None
     joined: bool = False
 
@@ -63,7 +63,7 @@
     def start(self, *, first: bool) -> None:
         if self.disk is None:
             node = f"{self.address}#{next(self.sim.lives)}"
-            self.disk = Disk(node, types.Record(empty=not first))
+            self.disk = Disk(node, types.SeedRecord(empty=not first))
         self.founder = self.sim.make(
             self.disk.node,
             self.address,
--- a/tests/fakes/lognode.py
+++ b/tests/fakes/lognode.py
@@ -69,7 +69,7 @@
             snapshot_entries=self.snapshot_entries,
         )
         self.address = addresses[place]
-        self.failed: Exception | None = None
+        self.failure: Exception | None = None
         self.node = node.Node(
             NodeConfig(
                 self.cfg.data_folder,
@@ -123,5 +123,5 @@
             self.node.handle(message)
 
     def _fail(self, exc: Exception) -> None:
-        self.failed = exc
+        self.failure = exc
         raise exc
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from catkinpin.core.consensus import commands, core, messages, state
-from catkinpin.core.consensus.messages import Kind, Member, Members
+from catkinpin.core.consensus.messages import EntryKind, Member, Members
 from tests.fakes.simdisk import Disk, Image
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
 
     def start(self) -> None:
         image = self.disk.image
-        stored = state.Stored(
+        stored = state.StoredState(
             members=image.members,
             term=image.term,
             vote=image.vote,
@@ -138,7 +138,7 @@
                 self.sim.send(self, to, message)
             case commands.Apply(first, last):
                 self.apply(first, last)
-            case commands.Lead(leading):
+            case commands.ReportLeadership(leading):
                 self.leading = leading
             case commands.Fetch(sender, offer):
                 self.sim.fetch(self, sender, offer)
@@ -152,7 +152,7 @@
             if first <= entry.index <= last:
                 self.sim.check_applied(self, entry)
                 self.applied_index = entry.index
-                if entry.kind is Kind.DATA:
+                if entry.kind is EntryKind.DATA:
                     self.applied.append((entry.index, entry.payload))
 
     def restore(self, offer: messages.SnapshotOffer, tail: bool) -> None:
@@ -367,7 +367,7 @@
                 first = self.leaders.setdefault(node.core.term, node.name)
                 if first != node.name:
                     raise CheckError(f"two leaders in {node.core.term}")
-            if node.leading and node.core.serves(node.now()):
+            if node.leading and node.core.holds_lease(node.now()):
                 holders.append(node)
         if len(holders) > 1:
             raise CheckError(f"two leases: {[n.name for n in holders]}")
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -12,7 +12,7 @@
     messages,
     state,
 )
-from catkinpin.core.consensus.messages import Kind, Member, Members
+from catkinpin.core.consensus.messages import EntryKind, Member, Members
 from tests import base, simulation
 
 _SEEDS = range(24)
@@ -143,7 +143,7 @@
             members=[Member(node=f"n{n}", address="") for n in range(3)]
         )
         for void_term, granted in ((0, False), (4, False), (5, True)):
-            stored = state.Stored(members=members, term=4)
+            stored = state.StoredState(members=members, term=4)
             one = core.Core("n0", stored, random.Random(1), 0)
             one.step("n1", messages.Heartbeat(5, 0, 10_000), 10_000)
             one.take_output(10_000)
@@ -169,8 +169,8 @@
         members = Members(
             members=[Member(node=f"n{n}", address="") for n in range(3)]
         )
-        old = messages.Entry(1, 1, Kind.DATA, b"old")
-        stored = state.Stored(members=members, term=3, entries=[old])
+        old = messages.Entry(1, 1, EntryKind.DATA, b"old")
+        stored = state.StoredState(members=members, term=3, entries=[old])
         one = core.Core("n0", stored, random.Random(1), 0)
         one.tick(5_000)
         one.step("n1", messages.PreVoteReply(term=4, granted=True), 5_001)
@@ -198,13 +198,15 @@
         new = [n for n in sim.nodes if n.leading]
         self.assertEqual(1, len(new))
         self.assertIsNot(old, new[0])
-        self.assertTrue(new[0].core.serves(new[0].now()))
+        self.assertTrue(new[0].core.holds_lease(new[0].now()))
 
 
 class LeaderlessTest(base.TestCase):
     """How long a group is without a leader, as keepers time it."""
 
-    _KEEPER = state.Timing(heartbeat_ms=50, election_ms=400, lease_ms=330)
+    _KEEPER = state.Timing(
+        heartbeat_interval_ms=50, election_timeout_ms=400, lease_ms=330
+    )
     _SEEDS = range(40)
 
     def _group(self, seed: int, size: int) -> simulation.Simulation:
@@ -221,7 +223,7 @@
             sim.run_until(sim.now + 5)
             leads = [n for n in sim.nodes if n.up and n.leading]
             if sim.now > since_ms and any(
-                n.core.serves(n.now()) for n in leads
+                n.core.holds_lease(n.now()) for n in leads
             ):
                 return sim.now - since_ms
         raise AssertionError("no leader in 10 s")
--- a/tests/test_founders.py
+++ b/tests/test_founders.py
@@ -192,7 +192,7 @@
     """What a seed answers to others."""
 
     def _founder(self, *, empty: bool = False) -> Founder:
-        record = types.Record(empty)
+        record = types.SeedRecord(empty)
         return Founder("n1", "a1", ("a1", "a2", "a3"), record, 0)
 
     def _prepare(self, **fields: object) -> messages.Prepare:
@@ -216,8 +216,8 @@
         founder = self._founder()
         founder.step(self._prepare(seeds=["a1", "a2", "a4"]), 10)
         self.assertEqual([], founder.take_output())
-        waiting = founder.waiting(10)
-        self.assertEqual({"a3", "a4"}, set(waiting.seeds))
+        wait_status = founder.wait_status(10)
+        self.assertEqual({"a3", "a4"}, set(wait_status.seeds))
 
     def test_copies_of_one_folder_found_nothing(self) -> None:
         """Guards against two keepers that vote in one name."""
@@ -226,15 +226,15 @@
             info = types.Introduction("n2", address, empty=False)
             founder.handle_introduction(info, 10)
         self.assertEqual([], founder.take_output())
-        self.assertIn("copies", founder.waiting(10).reason)
+        self.assertIn("copies", founder.wait_status(10).reason)
 
     def test_seed_that_is_named_twice_counts_once(self) -> None:
         """Guards against a majority of one keeper with itself."""
         seeds = ("a1", "a1", "a2")
-        founder = Founder("n1", "a1", seeds, types.Record(empty=False), 0)
+        founder = Founder("n1", "a1", seeds, types.SeedRecord(empty=False), 0)
         founder.tick(10_000)
         self.assertEqual([], founder.take_output())
-        self.assertEqual(("a2",), founder.waiting(10_000).seeds)
+        self.assertEqual(("a2",), founder.wait_status(10_000).seeds)
 
     def test_promise_is_saved_before_it_is_sent(self) -> None:
         """Guards against a promise that a power loss takes back."""
@@ -260,7 +260,7 @@
     node: str,
     address: str,
     seeds: tuple[str, ...],
-    record: types.Record,
+    record: types.SeedRecord,
     now_ms: int,
 ) -> Founder:
     """Returns a seed that does not know that it may have lost its disk."""
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -81,7 +81,7 @@
 
     def _agree(self) -> None:
         """Has the other replica answer what it is asked."""
-        record = foundingtypes.Record(empty=True)
+        record = foundingtypes.SeedRecord(empty=True)
         other = Founder("other", _OTHER, (_US, _OTHER), record, 0)
         kinds = (messages.Prepare, messages.Propose)
         for _ in kinds:
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -35,7 +35,7 @@
                 await main(nodes)
             finally:
                 await asyncio.gather(*(one.stop() for one in nodes))
-                self.assertEqual([None] * 3, [one.failed for one in nodes])
+                self.assertEqual([None] * 3, [one.failure for one in nodes])
 
         self.run_async(whole())
 
@@ -121,7 +121,7 @@
                 self.assertFalse(full.groups[0].is_leader())
                 leader = await self.leader(rest)
                 await leader.commit(b"while it is full")
-                self.assertIsNone(full.failed)
+                self.assertIsNone(full.failure)
             leader = await self.leader(nodes)
             await leader.commit(b"after")
             applied = leader.machines[0].applied
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,8 +7,8 @@
 import testtools
 
 from catkinpin.core.consensus import leading, membership
-from catkinpin.core.consensus.messages import Kind, Member, Members
-from catkinpin.core.consensus.state import State, Stored, Timing
+from catkinpin.core.consensus.messages import EntryKind, Member, Members
+from catkinpin.core.consensus.state import State, StoredState, Timing
 
 _NOW_MS = 100_000
 
@@ -17,7 +17,7 @@
     """Returns the state of leader 'a', whose members have all it has."""
     members = [Member(node=n, address=f"{n}:1") for n in voters]
     members += [Member(node=n, address=f"{n}:1", voter=False) for n in learners]
-    stored = Stored(members=Members(members=members), term=1)
+    stored = StoredState(members=Members(members=members), term=1)
     state = State("a", stored, random.Random(1), 0, Timing())
     leading.begin(state, 0)
     state.announced = True
@@ -116,7 +116,7 @@
             state.progress["f"].match = state.log.last - 3
             membership.settle(state, now_ms)
             for _ in range(6):
-                leading.append(state, Kind.DATA, b"", now_ms)
+                leading.append(state, EntryKind.DATA, b"", now_ms)
             state.commit = state.log.last
         self.assertEqual(list("abcdf"), sorted(state.log.voters))
 
@@ -128,7 +128,7 @@
         state = _leader("abcde", learners="f")
         _silence(state, "e")
         for _ in range(100):
-            leading.append(state, Kind.DATA, b"", _NOW_MS)
+            leading.append(state, EntryKind.DATA, b"", _NOW_MS)
         state.commit = state.mark_last = state.log.last
         state.progress["f"].match = 0
         now_ms = _NOW_MS
@@ -139,6 +139,6 @@
             state.progress["f"].match += 1
             membership.settle(state, now_ms)
             for _ in range(6):
-                leading.append(state, Kind.DATA, b"", now_ms)
+                leading.append(state, EntryKind.DATA, b"", now_ms)
             state.commit = state.log.last
         self.assertNotIn("f", state.log.voters)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from catkinpin.adapters.disk import files, segments, snapshots, storage
-from catkinpin.core.consensus.messages import Entry, Kind, Members
+from catkinpin.core.consensus.messages import Entry, EntryKind, Members
 from catkinpin.exceptions import (
     DamagedLogError,
     DiskFullError,
@@ -25,7 +25,7 @@
 def entries(first: int, last: int, term: int = 1) -> list[Entry]:
     """Returns entries whose payloads tell index and term."""
     return [
-        Entry(index, term, Kind.DATA, b"%d/%d" % (index, term) * 20)
+        Entry(index, term, EntryKind.DATA, b"%d/%d" % (index, term) * 20)
         for index in range(first, last + 1)
     ]
 
