--- a/catkinpin/core/consensus/__init__.py
+++ b/catkinpin/core/consensus/__init__.py
@@ -1,5 +1,5 @@
-"""Agreement on a replicated log: election, leases, replication, members.
+"""Consensus on a replicated log: elections, leases, replication, membership.
 
-Deterministic and without I/O: `core.Core` takes events and a time and hands
-out commands; whoever drives it owns the disk, the network and the clock.
+The package is deterministic and does no I/O. `core.Core` takes events and the
+time and returns commands; its driver owns the disk, the network and the clock.
 """
--- a/catkinpin/core/consensus/commands.py
+++ b/catkinpin/core/consensus/commands.py
@@ -1,4 +1,7 @@
-"""What a consensus core asks its driver to do, in the order given."""
+"""Commands that a consensus core gives its driver.
+
+The driver carries them out in the order given.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +14,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class SaveState:
-    """Write the term and the vote in it.
+    """Write the term and the vote to the log's disk.
 
     Attributes:
-        led: whether this replica leads, or has led, that term.
+        term: the current term.
+        vote: identity of the replica voted for in that term; empty for none.
+        led: whether this replica is, or was, the leader of that term.
     """
 
     term: int
@@ -24,29 +29,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class SaveEntries:
-    """Write entries; whatever the log holds from their first index on goes."""
+    """Write entries, replacing the log from the first one's index on."""
 
     entries: list[messages.Entry]
 
 
 @dataclasses.dataclass(frozen=True)
 class Send:
-    """Send a message.
+    """Send a message to another replica.
 
     Attributes:
-        synced: send only after all that was to be written before is synced.
-            A vote or an acknowledgement sent earlier could be forgotten by a
-            crash, and then be given again to another.
+        to: identity of the receiver.
+        message: the message.
+        after_sync: send only once all earlier writes are synced. Otherwise a
+            crash could erase a vote or an acknowledgement after it was sent,
+            and the replica could then give a conflicting one.
     """
 
     to: str
     message: messages.GroupMessage
-    synced: bool = False
+    after_sync: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class SendEntries:
-    """Send `message` with the entries `first` to `last` from the log."""
+    """Send `message`, filled with the log's entries `first` to `last`."""
 
     to: str
     message: messages.Append
@@ -56,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Apply:
-    """Apply the entries `first` to `last`, after they are synced."""
+    """Apply the entries `first` to `last` once they are synced."""
 
     first: int
     last: int
@@ -64,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fetch:
-    """Fetch the snapshot that `sender` offers, then call `Core.install`."""
+    """Fetch the snapshot that `sender` offered, then call `Core.install`."""
 
     sender: str
     offer: messages.SnapshotOffer
@@ -72,11 +79,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Restore:
-    """Replace the state by the fetched snapshot.
+    """Replace the state machine's state by the fetched snapshot.
 
     Attributes:
-        keeps_tail: whether the entries after the snapshot stay; they may have
-            been acknowledged.
+        offer: the offer of this snapshot.
+        keeps_tail: whether to keep the log's entries after the snapshot. They
+            match the leader's log and may have been acknowledged.
     """
 
     offer: messages.SnapshotOffer
@@ -85,7 +93,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReportLeadership:
-    """The replica may lead now, or leads no more."""
+    """Report that this replica became the leader or stopped being it.
+
+    Attributes:
+        leading: whether it is the leader now.
+    """
 
     leading: bool
 
--- a/catkinpin/core/consensus/core.py
+++ b/catkinpin/core/consensus/core.py
@@ -1,4 +1,4 @@
-"""One replica of a log group: events and a time in, commands out."""
+"""Consensus core of one replica: takes events and times, returns commands."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class Core:
-    """A consensus core; its driver calls `take_output` after events.
+    """One replica of a log group; its driver calls `take_output` after events.
 
     Args:
         node: identity of this replica.
-        stored: what was found on the disk.
-        rng: random source for the timeouts.
-        now_ms: monotonic time; it must count the time a host sleeps, too.
-        timing: times of leases and elections.
-        begun_ms: when this process began, by the same clock; None: now.
+        stored: state read from the disk.
+        rng: random source for the election timeouts.
+        now_ms: monotonic time, which must advance while the host is suspended.
+        timing: timeouts and limits of the group.
+        started_ms: start of this process by the same clock; None: now.
     """
 
     def __init__(
@@ -39,12 +39,12 @@
         rng: random.Random,
         now_ms: int,
         timing: Timing | None = None,
-        begun_ms: int | None = None,
+        started_ms: int | None = None,
     ) -> None:
         timing = timing or Timing()
-        self.state = State(node, stored, rng, now_ms, timing, begun_ms)
+        self.state = State(node, stored, rng, now_ms, timing, started_ms)
         if self.state.log.voters == [node]:
-            election.stand(self.state, now_ms)
+            election.start_pre_vote(self.state, now_ms)
 
     @property
     def term(self) -> int:
@@ -53,36 +53,38 @@
 
     @property
     def leader(self) -> str:
-        """Identity of the leader, empty where it isn't known."""
+        """Identity of the leader; empty if unknown."""
         return self.state.leader
 
     @property
     def leader_address(self) -> str:
-        """Peer address of the leader, empty where it isn't known."""
+        """Peer address of the leader; empty if unknown."""
         member = self.state.log.members.find(self.state.leader)
         return member.address if member is not None else ""
 
     @property
     def role(self) -> Role:
-        """What this replica does in its term."""
+        """Role of this replica in its term."""
         return self.state.role
 
     def holds_lease(self, now_ms: int) -> bool:
-        """Returns whether this replica may decide and answer reads now.
+        """Returns whether this replica may make decisions and serve reads now.
 
-        True only for a leader that holds a lease, so for one at a time, and
-        only once it has handed out everything committed before its term. One
-        that hands over decides nothing more: it takes no records.
+        At most one replica of a group holds a lease at a time. A new leader
+        counts as holding it only once all entries committed before its term
+        have been given out to be applied. A leader that is transferring
+        leadership no longer counts, since it takes no new entries.
         """
         state = self.state
-        leads = state.announced and not state.transfer_to
+        leads = state.leadership_reported and not state.transfer_to
         return leads and now_ms < state.lease_until_ms
 
     def is_current(self, applied: int, now_ms: int) -> bool:
-        """Returns whether the state at `applied` is not an old one.
+        """Returns whether the state as of the index `applied` is current.
 
-        It then holds all that was committed before the present leader, and
-        what that one has committed until its last heartbeat.
+        A current state includes all entries committed before the present
+        leader's term and those that this leader had committed by its last
+        heartbeat.
         """
         state = self.state
         if state.log.term_at(applied) != state.term:
@@ -92,19 +94,19 @@
         return bool(state.leader) and state.has_recent_heartbeat(now_ms)
 
     def tick(self, now_ms: int) -> None:
-        """Acts on time that has passed."""
+        """Runs the timers that are due; the driver calls it periodically."""
         state = self.state
         if state.role is Role.LEADER:
             leading.tick(state, now_ms)
             if state.role is Role.LEADER:
-                membership.settle(state, now_ms)
-        elif now_ms >= state.deadline_ms and state.is_voter():
-            election.stand(state, now_ms)
+                membership.promote_learner(state, now_ms)
+        elif now_ms >= state.election_deadline_ms and state.is_voter():
+            election.start_pre_vote(state, now_ms)
 
     def step(
         self, sender: str, msg: messages.GroupMessage, now_ms: int
     ) -> None:
-        """Takes a message of another member."""
+        """Handles a message from another member."""
         state = self.state
         match msg:
             case messages.Heartbeat():
@@ -133,76 +135,94 @@
     def accept_unchanged_heartbeat(
         self, sender: str, term: int, commit: int, now_ms: int
     ) -> bool:
-        """Takes a heartbeat of a leader that we follow, if nothing is new.
+        """Handles a heartbeat from the current leader that changes nothing.
 
         Returns:
-            Whether to answer with a plain `HeartbeatReply`; False where the
-            heartbeat has to go through `step`.
+            Whether to answer with a plain `HeartbeatReply`. If False, the
+            heartbeat was not handled and has to be passed to `step`.
         """
         return following.accept_unchanged_heartbeat(
             self.state, sender, term, commit, now_ms
         )
 
     def propose(self, payload: bytes, now_ms: int) -> int:
-        """Appends a record; returns its index, 0 where we don't lead."""
+        """Appends an entry; returns its index, 0 if this is not the leader."""
         state = self.state
         if state.role is not Role.LEADER or state.transfer_to:
             return 0
-        return leading.append(state, EntryKind.DATA, payload, now_ms)
+        return leading.append_entry(state, EntryKind.DATA, payload, now_ms)
 
     def synced(self, index: int, term: int, now_ms: int) -> None:
-        """Notes that the entries up to `index` are synced."""
+        """Records that the entries up to `index` are synced to disk.
+
+        Args:
+            index: index of the last entry synced.
+            term: term of that entry; the call has no effect if the log holds
+                another entry at that index by now.
+            now_ms: monotonic time.
+        """
         state = self.state
         if state.log.term_at(index) == term:
-            state.synced = max(state.synced, index)
+            state.synced_index = max(state.synced_index, index)
             if state.role is Role.LEADER:
-                leading.synced(state, now_ms)
+                leading.on_synced(state, now_ms)
 
     def transfer(self, now_ms: int, address: str = "") -> bool:
-        """Hands leadership over; returns whether anyone can take it.
+        """Starts to transfer leadership to another voter.
 
         Args:
-            now_ms: the time.
-            address: peer address of the voter to take it; empty for any.
+            now_ms: monotonic time.
+            address: peer address of the voter to transfer it to; empty for
+                any.
+
+        Returns:
+            Whether the transfer was started; False if this replica is not the
+            leader or no suitable voter answers.
         """
         if self.state.role is not Role.LEADER:
             return False
         return leading.transfer(self.state, now_ms, address)
 
     def add_learner(self, node: str, address: str, now_ms: int) -> bool:
-        """Adds a replica; it becomes a voter once it has caught up.
+        """Adds a replica as a learner; it becomes a voter once it catches up.
 
-        It then takes the place of a voter at the same address.
+        It then replaces the voter at the same address, if there is one.
 
         Returns:
-            Whether it is a member; False where we can't add it now.
+            Whether it is a member; False if it cannot be added now.
         """
         if self.state.role is not Role.LEADER:
             return False
         return membership.add_learner(self.state, node, address, now_ms)
 
     def compact(self, snapshot: int, base: int) -> None:
-        """Notes a synced snapshot, and drops the log up to `base`."""
-        self.state.snapshot = snapshot
+        """Drops the log's entries up to `base` after a snapshot was synced.
+
+        Args:
+            snapshot: last index that the snapshot covers.
+            base: index of the last entry to drop.
+        """
+        self.state.snapshot_index = snapshot
         if base > self.state.log.base:
             self.state.log.compact(base)
 
     def install(self, sender: str, offer: messages.SnapshotOffer) -> bool:
-        """Continues from the fetched snapshot that `sender` offered.
+        """Replaces this replica's state by the snapshot that `sender` offered.
 
         Returns:
-            Whether it was of use; False where we are past it by now.
+            Whether it was installed; False if this replica has already
+            committed that far.
         """
         return following.install(self.state, sender, offer)
 
     def has_output(self) -> bool:
-        """Returns whether commands wait to be taken."""
+        """Returns whether `take_output` would return queued commands."""
         return bool(self.state.out)
 
     def take_output(self, now_ms: int) -> list[commands.Command]:
-        """Returns the commands since the last call.
+        """Returns the commands queued since the last call.
 
-        Records proposed since then travel together, in few batches.
+        A leader batches the entries proposed since then into few messages.
         """
         if self.state.role is Role.LEADER:
             leading.replicate(self.state, now_ms)
--- a/catkinpin/core/consensus/election.py
+++ b/catkinpin/core/consensus/election.py
@@ -1,4 +1,4 @@
-"""Election: pre-vote, vote, and who wins."""
+"""Leader election: pre-votes and votes."""
 
 from __future__ import annotations
 
@@ -11,40 +11,47 @@
     from catkinpin.core.consensus.state import State
 
 
-def stand(state: State, now_ms: int) -> None:
-    """Asks whether an election could be won.
+def start_pre_vote(state: State, now_ms: int) -> None:
+    """Asks the voters whether this replica would win an election.
 
-    Without this round a replica that was cut off would come back with a
-    higher term, and its mere return would depose a healthy leader.
+    Without pre-votes, a replica that was cut off by the network would return
+    with a higher term and thereby depose a healthy leader.
     """
-    state.ask_again(now_ms)
+    state.schedule_pre_vote_retry(now_ms)
     state.role = Role.PRE_CANDIDATE
     state.leader = ""
-    state.granted = {state.node}
-    if _won(state):
-        campaign(state, now_ms)
+    state.granted_by = {state.node}
+    if _has_won(state):
+        start_election(state, now_ms)
         return
-    question = messages.PreVote(
+    request = messages.PreVote(
         term=state.term + 1,
         last_index=state.log.last,
         last_term=state.log.last_term,
         void_term=state.void_term,
     )
     for voter in _other_voters(state):
-        state.send(voter, question)
+        state.send(voter, request)
 
 
-def campaign(state: State, now_ms: int, transfer: bool = False) -> None:
-    """Asks for votes in a new term."""
+def start_election(state: State, now_ms: int, transfer: bool = False) -> None:
+    """Starts a new term and asks for votes in it.
+
+    Args:
+        state: state of this replica.
+        now_ms: monotonic time.
+        transfer: whether the leader has given up its lease and asked for this
+            election.
+    """
     state.role = Role.CANDIDATE
     state.leader = ""
-    state.save(state.term + 1, state.node)
-    state.vote_again(now_ms)
-    state.granted = {state.node}
-    if _won(state):
-        leading.begin(state, now_ms)
+    state.save_term(state.term + 1, state.node)
+    state.schedule_vote_retry(now_ms)
+    state.granted_by = {state.node}
+    if _has_won(state):
+        leading.become_leader(state, now_ms)
         return
-    question = messages.Vote(
+    request = messages.Vote(
         term=state.term,
         last_index=state.log.last,
         last_term=state.log.last_term,
@@ -52,23 +59,24 @@
         void_term=state.void_term,
     )
     for voter in _other_voters(state):
-        state.send(voter, question, synced=True)
+        state.send(voter, request, after_sync=True)
 
 
 def on_pre_vote(
     state: State, sender: str, msg: messages.PreVote, now_ms: int
 ) -> None:
-    """Answers whether `sender` could have our vote."""
+    """Answers whether this replica would vote for `sender`."""
     granted = (
         msg.term > state.term
-        and not state.is_promised(msg.void_term, now_ms)
-        and state.is_current(msg.last_index, msg.last_term)
+        and not state.must_withhold_vote(msg.void_term, now_ms)
+        and state.is_up_to_date(msg.last_index, msg.last_term)
     )
-    # Two that stand at once would each vote for itself, and the group would
-    # be without a leader for another round.
+    # Two simultaneous candidates would each vote for themselves, and the group
+    # would have no leader for another round. The one with the lower identity
+    # withdraws.
     if granted and state.role is Role.PRE_CANDIDATE and sender > state.node:
         state.role = Role.FOLLOWER
-        state.vote_again(now_ms)
+        state.schedule_vote_retry(now_ms)
     term = msg.term if granted else state.term
     state.send(sender, messages.PreVoteReply(term=term, granted=granted))
 
@@ -76,66 +84,66 @@
 def on_pre_vote_reply(
     state: State, sender: str, msg: messages.PreVoteReply, now_ms: int
 ) -> None:
-    """Counts an answer to our pre-vote."""
+    """Counts an answer to a pre-vote of this replica."""
     if not msg.granted:
         if msg.term > state.term:
-            state.follow(msg.term, "", now_ms)
+            state.become_follower(msg.term, "", now_ms)
         return
     if state.role is Role.PRE_CANDIDATE and msg.term == state.term + 1:
-        state.granted.add(sender)
-        if _won(state):
-            campaign(state, now_ms)
+        state.granted_by.add(sender)
+        if _has_won(state):
+            start_election(state, now_ms)
 
 
 def on_vote(state: State, sender: str, msg: messages.Vote, now_ms: int) -> None:
-    """Votes, or doesn't, at most once a term."""
+    """Answers a request for a vote; votes for at most one replica per term."""
     if msg.term < state.term:
         state.send(sender, messages.VoteReply(term=state.term, granted=False))
         return
-    # The leader's lease counts on our not voting for a while. A transfer is
-    # asked for by a leader that has given its lease up.
-    promised = state.is_promised(msg.void_term, now_ms)
-    if promised and not msg.transfer:
+    # A leader's lease relies on this replica not voting for a while. Only the
+    # leader asks for a transfer, and it gives up its lease first.
+    bound_by_lease = state.must_withhold_vote(msg.void_term, now_ms)
+    if bound_by_lease and not msg.transfer:
         return
     if msg.term > state.term:
-        state.follow(msg.term, "", now_ms)
-    free = state.vote in ("", sender) and state.role is Role.FOLLOWER
-    granted = free and state.is_current(msg.last_index, msg.last_term)
+        state.become_follower(msg.term, "", now_ms)
+    may_vote = state.vote in ("", sender) and state.role is Role.FOLLOWER
+    granted = may_vote and state.is_up_to_date(msg.last_index, msg.last_term)
     if granted:
-        state.save(state.term, sender)
-        state.reset_deadline(now_ms)
+        state.save_term(state.term, sender)
+        state.reset_election_deadline(now_ms)
     state.send(
         sender,
         messages.VoteReply(term=state.term, granted=granted),
-        synced=True,
+        after_sync=True,
     )
 
 
 def on_vote_reply(
     state: State, sender: str, msg: messages.VoteReply, now_ms: int
 ) -> None:
-    """Counts a vote."""
+    """Counts an answer to a request for a vote."""
     if msg.term > state.term:
-        state.follow(msg.term, "", now_ms)
+        state.become_follower(msg.term, "", now_ms)
     elif (
         state.role is Role.CANDIDATE and msg.term == state.term and msg.granted
     ):
-        state.granted.add(sender)
-        if _won(state):
-            leading.begin(state, now_ms)
+        state.granted_by.add(sender)
+        if _has_won(state):
+            leading.become_leader(state, now_ms)
 
 
 def on_timeout_now(state: State, msg: messages.TimeoutNow, now_ms: int) -> None:
-    """Stands at once: the leader hands its office over."""
-    follows = state.role is Role.FOLLOWER and msg.term == state.term
-    if follows and state.is_voter():
-        campaign(state, now_ms, transfer=True)
+    """Starts an election at once, as the leader transfers its leadership."""
+    is_follower = state.role is Role.FOLLOWER and msg.term == state.term
+    if is_follower and state.is_voter():
+        start_election(state, now_ms, transfer=True)
 
 
 def _other_voters(state: State) -> list[str]:
     return [v for v in state.log.voters if v != state.node]
 
 
-def _won(state: State) -> bool:
-    votes = sum(voter in state.granted for voter in state.log.voters)
+def _has_won(state: State) -> bool:
+    votes = sum(voter in state.granted_by for voter in state.log.voters)
     return votes >= state.log.quorum
--- a/catkinpin/core/consensus/following.py
+++ b/catkinpin/core/consensus/following.py
@@ -1,4 +1,4 @@
-"""What a follower does: take entries, heartbeats and snapshots."""
+"""Follower role: accepts entries, heartbeats and snapshots from the leader."""
 
 from __future__ import annotations
 
@@ -11,137 +11,153 @@
 if TYPE_CHECKING:
     from catkinpin.core.consensus.state import State
 
-_FromLeader = messages.Append | messages.Heartbeat | messages.SnapshotOffer
+_LeaderMessage = messages.Append | messages.Heartbeat | messages.SnapshotOffer
 
 
 def on_append(
     state: State, sender: str, msg: messages.Append, now_ms: int
 ) -> None:
-    """Takes entries where they fit on our log."""
-    if not _accepts(state, sender, msg, now_ms):
+    """Appends the leader's entries if they fit the log, else rejects them."""
+    if not _accept_leader(state, sender, msg, now_ms):
         return
     log = state.log
-    prev, entries = msg.prev_index, msg.entries
-    end = prev + len(entries)
-    if prev < log.base:
-        # Entries under a snapshot are committed, so they match.
-        entries = entries[log.base - prev :]
-        prev = log.base
-        end = max(end, prev)
-    elif log.term_at(prev) != msg.prev_term:
-        _refuse(state, sender, msg)
+    prev_index, entries = msg.prev_index, msg.entries
+    last_index = prev_index + len(entries)
+    if prev_index < log.base:
+        # Entries covered by the snapshot are committed, so they match.
+        entries = entries[log.base - prev_index :]
+        prev_index = log.base
+        last_index = max(last_index, prev_index)
+    elif log.term_at(prev_index) != msg.prev_term:
+        _reject_append(state, sender, msg)
         return
     _append_entries(state, entries)
     reply = messages.AppendReply(
-        term=state.term, ok=True, index=end, sent_ms=msg.sent_ms
+        term=state.term, ok=True, index=last_index, sent_ms=msg.sent_ms
     )
-    state.send(sender, reply, synced=True)
-    state.commit_to(min(msg.commit, end))
+    state.send(sender, reply, after_sync=True)
+    state.commit_up_to(min(msg.commit, last_index))
 
 
 def on_heartbeat(
     state: State, sender: str, msg: messages.Heartbeat, now_ms: int
 ) -> None:
-    """Lets the leader keep its lease."""
-    if not _accepts(state, sender, msg, now_ms):
+    """Confirms the leader's lease and takes over its commit index."""
+    if not _accept_leader(state, sender, msg, now_ms):
         return
     reply = messages.HeartbeatReply(term=state.term, sent_ms=msg.sent_ms)
-    state.send(sender, reply, synced=True)
-    state.commit_to(min(msg.commit, state.log.last))
+    state.send(sender, reply, after_sync=True)
+    state.commit_up_to(min(msg.commit, state.log.last))
 
 
 def accept_unchanged_heartbeat(
     state: State, sender: str, term: int, commit: int, now_ms: int
 ) -> bool:
-    """Handles a heartbeat without news; returns False if it has news."""
-    known = (
+    """Handles a heartbeat from the current leader that changes nothing.
+
+    Returns:
+        Whether it was handled. A heartbeat from another leader, of another
+        term or with a newer commit index is not.
+    """
+    is_unchanged = (
         state.role is Role.FOLLOWER
         and state.leader == sender
         and state.term == term
         and commit <= state.commit
     )
-    if known:
-        state.hear(now_ms)
-    return known
+    if is_unchanged:
+        state.record_leader_contact(now_ms)
+    return is_unchanged
 
 
 def on_offer(
     state: State, sender: str, msg: messages.SnapshotOffer, now_ms: int
 ) -> None:
-    """Fetches a snapshot that is ahead of us."""
-    if not _accepts(state, sender, msg, now_ms):
+    """Fetches the offered snapshot if it is ahead of the commit index."""
+    if not _accept_leader(state, sender, msg, now_ms):
         return
     if msg.index <= state.commit:
-        _reply_installed(state, sender, msg)
+        _acknowledge_snapshot(state, sender, msg)
     else:
         state.emit(commands.Fetch(sender, msg))
 
 
 def install(state: State, sender: str, offer: messages.SnapshotOffer) -> bool:
-    """Continues from a fetched snapshot; returns whether it was of use."""
+    """Replaces the state by a fetched snapshot.
+
+    Returns:
+        Whether it was installed; False if this replica has already committed
+        that far.
+    """
     if offer.index <= state.commit:
         return False
     keeps_tail = state.log.term_at(offer.index) == offer.last_term
     if keeps_tail:
         state.log.compact(offer.index)
-        state.synced = max(state.synced, offer.index)
+        state.synced_index = max(state.synced_index, offer.index)
     else:
         state.log = LogIndex(offer.index, offer.last_term, offer.members)
-        state.synced = offer.index
-    state.snapshot = offer.index
+        state.synced_index = offer.index
+    state.snapshot_index = offer.index
     state.commit = offer.index
     state.applied = offer.index
     state.emit(commands.Restore(offer, keeps_tail))
-    _reply_installed(state, sender, offer)
+    _acknowledge_snapshot(state, sender, offer)
     return True
 
 
-def _accepts(state: State, sender: str, msg: _FromLeader, now_ms: int) -> bool:
+def _accept_leader(
+    state: State, sender: str, msg: _LeaderMessage, now_ms: int
+) -> bool:
+    """Follows the sender; returns False if its term is outdated."""
     if msg.term < state.term:
-        # An old leader learns of the new term, and stops.
+        # The newer term in the reply makes the outdated leader step down.
         reply = messages.HeartbeatReply(term=state.term, sent_ms=msg.sent_ms)
         state.send(sender, reply)
         return False
-    state.follow(msg.term, sender, now_ms)
-    state.hear(now_ms)
+    state.become_follower(msg.term, sender, now_ms)
+    state.record_leader_contact(now_ms)
     return True
 
 
-def _refuse(state: State, sender: str, msg: messages.Append) -> None:
+def _reject_append(state: State, sender: str, msg: messages.Append) -> None:
+    """Answers with the last index at which the two logs may still match."""
     log = state.log
-    hint = min(log.last, msg.prev_index - 1)
+    last_candidate = min(log.last, msg.prev_index - 1)
     if log.term_at(msg.prev_index) >= 0:
-        hint = log.first_of_term(msg.prev_index) - 1
+        last_candidate = log.first_index_of_term(msg.prev_index) - 1
     reply = messages.AppendReply(
         term=state.term,
         ok=False,
-        index=max(hint, state.commit),
+        index=max(last_candidate, state.commit),
         sent_ms=msg.sent_ms,
     )
-    state.send(sender, reply, synced=True)
+    state.send(sender, reply, after_sync=True)
 
 
 def _append_entries(state: State, entries: list[messages.Entry]) -> None:
-    """Appends what we lack; cuts our log where it parts from the leader's."""
+    """Appends missing entries, after dropping those that conflict with them."""
     log = state.log
     for position, entry in enumerate(entries):
         if log.term_at(entry.index) == entry.term:
             continue
         if entry.index <= log.last:
-            assert entry.index > state.commit, "a committed entry would go"
-            log.cut(entry.index - 1)
-            state.synced = min(state.synced, log.last)
-        new = entries[position:]
-        for one in new:
-            log.append(one)
-        state.emit(commands.SaveEntries(new))
+            assert entry.index > state.commit, (
+                "a committed entry would be dropped"
+            )
+            log.truncate_after(entry.index - 1)
+            state.synced_index = min(state.synced_index, log.last)
+        new_entries = entries[position:]
+        for new_entry in new_entries:
+            log.append(new_entry)
+        state.emit(commands.SaveEntries(new_entries))
         return
 
 
-def _reply_installed(
+def _acknowledge_snapshot(
     state: State, sender: str, offer: messages.SnapshotOffer
 ) -> None:
     reply = messages.AppendReply(
         term=state.term, ok=True, index=offer.index, sent_ms=offer.sent_ms
     )
-    state.send(sender, reply, synced=True)
+    state.send(sender, reply, after_sync=True)
--- a/catkinpin/core/consensus/log.py
+++ b/catkinpin/core/consensus/log.py
@@ -1,4 +1,4 @@
-"""What the core knows of the log: terms, sizes, members; no payloads."""
+"""In-memory index of the log: terms, sizes and members, but no payloads."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from catkinpin.core.consensus.messages import Entry
 
-_members = msgspec.msgpack.Decoder(Members)
+_members_decoder = msgspec.msgpack.Decoder(Members)
 
 
 def encode_members(members: Members) -> bytes:
@@ -23,18 +23,24 @@
 
 
 @dataclasses.dataclass
-class MembersAt:
-    """Members as of a log index."""
+class MembersSince:
+    """Members from a log index on.
+
+    Attributes:
+        index: index of the entry that set them.
+        members: the members.
+    """
 
     index: int
     members: Members
 
 
 class LogIndex:
-    """Terms and sizes of the entries after `base`.
+    """Terms and sizes of the entries after `base`, and changes of the members.
 
     Attributes:
-        base: last index that the log no longer holds; 0 for a whole log.
+        base: index of the last entry that compaction removed; 0 if the log
+            holds all entries.
         base_term: term of that entry.
     """
 
@@ -43,8 +49,8 @@
         self.base_term = base_term
         self._terms = array.array("Q")
         self._sizes = array.array("I")
-        self._members = [MembersAt(base, members)]
-        self._counted: Members | None = None
+        self._members = [MembersSince(base, members)]
+        self._voters_source: Members | None = None
         self._voters: list[str] = []
 
     @property
@@ -66,14 +72,14 @@
     def voters(self) -> list[str]:
         """Identities of the voters among the newest members."""
         members = self.members
-        if self._counted is not members:
-            self._counted = members
+        if self._voters_source is not members:
+            self._voters_source = members
             self._voters = members.voters()
         return self._voters
 
     @property
     def quorum(self) -> int:
-        """How many of the voters make a majority."""
+        """Number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
@@ -83,14 +89,14 @@
 
     def members_at(self, index: int) -> Members:
         """Returns the members as of `index`."""
-        found = self._members[0]
-        for at in self._members:
-            if at.index <= index:
-                found = at
-        return found.members
+        latest = self._members[0]
+        for change in self._members:
+            if change.index <= index:
+                latest = change
+        return latest.members
 
     def term_at(self, index: int) -> int:
-        """Returns the term of an entry, or -1 where it isn't known."""
+        """Returns the term of an entry, -1 if the log doesn't hold it."""
         if index == self.base:
             return self.base_term
         if not self.base < index <= self.last:
@@ -98,47 +104,50 @@
         return self._terms[index - self.base - 1]
 
     def append(self, entry: Entry) -> None:
-        """Adds the next entry."""
+        """Adds the entry that follows the last one."""
         assert entry.index == self.last + 1
         self._terms.append(entry.term)
         self._sizes.append(len(entry.payload))
         if entry.kind is EntryKind.MEMBERS:
-            members = _members.decode(entry.payload)
-            self._members.append(MembersAt(entry.index, members))
+            members = _members_decoder.decode(entry.payload)
+            self._members.append(MembersSince(entry.index, members))
 
-    def cut(self, last: int) -> None:
+    def truncate_after(self, last: int) -> None:
         """Drops the entries after `last`."""
-        keep = last - self.base
-        del self._terms[keep:]
-        del self._sizes[keep:]
+        kept_count = last - self.base
+        del self._terms[kept_count:]
+        del self._sizes[kept_count:]
         while len(self._members) > 1 and self._members[-1].index > last:
             self._members.pop()
 
     def compact(self, base: int) -> None:
         """Drops the entries up to `base`."""
         self.base_term = self.term_at(base)
-        drop = base - self.base
-        del self._terms[:drop]
-        del self._sizes[:drop]
+        dropped_count = base - self.base
+        del self._terms[:dropped_count]
+        del self._sizes[:dropped_count]
         self.base = base
         while len(self._members) > 1 and self._members[1].index <= base:
             self._members.pop(0)
 
-    def first_of_term(self, index: int) -> int:
-        """Returns the first index held of the term at `index`."""
+    def first_index_of_term(self, index: int) -> int:
+        """Returns the first index that the log holds of the term at `index`."""
         term = self.term_at(index)
         while index > self.base + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
-    def batch_end(self, first: int, entries: int, size: int) -> int:
-        """Returns the last index of a batch from `first`; at least `first`."""
-        end = min(self.last, first + entries - 1)
+    def batch_end(self, first: int, max_entries: int, max_bytes: int) -> int:
+        """Returns the last index of a batch of entries that begins at `first`.
+
+        A batch holds at least one entry, even if it exceeds `max_bytes`.
+        """
+        end = min(self.last, first + max_entries - 1)
         position = first - self.base - 1
         total = 0
         for index in range(first, end + 1):
             total += self._sizes[position]
             position += 1
-            if total > size:
+            if total > max_bytes:
                 return max(first, index - 1)
         return end
--- a/catkinpin/core/consensus/messages.py
+++ b/catkinpin/core/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Log entries, members, and what the replicas of a group say to each other."""
+"""Log entries, group members, and the messages between replicas of a group."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry carries.
+    """Kind of a log entry's payload.
 
-    `NOOP` opens a leader's term: entries of earlier terms commit with it.
+    A leader appends a `NOOP` entry at the start of its term, since entries of
+    earlier terms can only be committed together with one of its own term.
     """
 
     DATA = 0
@@ -21,7 +22,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One record of the log."""
+    """An entry of the replicated log."""
 
     index: int
     term: int
@@ -30,12 +31,12 @@
 
 
 class Member(Message, frozen=True):
-    """A replica's place in a group.
+    """A replica that belongs to a group.
 
     Attributes:
-        node: identity of the replica, new for each new data folder.
+        node: identity of the replica; each new data folder gets a new one.
         address: peer address.
-        voter: False for a learner, which gets the log and doesn't vote.
+        voter: False for a learner, which receives the log but doesn't vote.
     """
 
     node: str
@@ -49,20 +50,23 @@
     members: list[Member] = []
 
     def voters(self) -> list[str]:
-        """Returns the identities of those that vote."""
+        """Returns the identities of the voters."""
         return [m.node for m in self.members if m.voter]
 
     def find(self, node: str) -> Member | None:
-        """Returns a member by its identity."""
+        """Returns the member with this identity, None if there is none."""
         return next((m for m in self.members if m.node == node), None)
 
 
 class PreVote(Message, frozen=True):
-    """Asks whether an election in `term` could be won; changes no state.
+    """Asks whether the receiver would vote for the sender; changes no state.
 
     Attributes:
+        term: term of the election that the sender would start.
+        last_index: index of the last entry of the sender's log.
+        last_term: term of that entry.
         void_term: a term that the sender led in an earlier process, whose
-            lease ended with it; 0 for none.
+            lease ended with that process; 0 for none.
     """
 
     term: int
@@ -72,17 +76,26 @@
 
 
 class PreVoteReply(Message, frozen=True):
-    """Answers a `PreVote`."""
+    """Answers a `PreVote`.
+
+    Attributes:
+        term: the requested term if granted, else the sender's own.
+        granted: whether the sender would vote for the receiver.
+    """
 
     term: int
     granted: bool
 
 
 class Vote(Message, frozen=True):
-    """Asks for a vote.
+    """Asks for a vote in `term`.
 
     Attributes:
-        transfer: the leader gave up its lease and asked for this election.
+        term: term of the election.
+        last_index: index of the last entry of the sender's log.
+        last_term: term of that entry.
+        transfer: whether the leader has given up its lease and asked the
+            sender to start this election.
         void_term: as in `PreVote`.
     """
 
@@ -101,10 +114,15 @@
 
 
 class Append(Message, frozen=True):
-    """Carries entries that follow the entry `prev_index`.
+    """Carries the entries that follow the entry `prev_index`.
 
     Attributes:
-        sent_ms: the leader's own monotonic time, echoed by the reply.
+        term: the leader's term.
+        prev_index: index of the entry before the first one carried.
+        prev_term: term of that entry.
+        commit: the leader's commit index.
+        sent_ms: the leader's monotonic time, which the reply echoes.
+        entries: the entries.
     """
 
     term: int
@@ -119,8 +137,11 @@
     """Answers an `Append`, or a `SnapshotOffer` once it is installed.
 
     Attributes:
-        index: last index known to match, or, where refused, the last index
-            that may still match.
+        term: the sender's term.
+        ok: whether the entries fit the sender's log.
+        index: if `ok`, the last index known to match the leader's log;
+            otherwise the last index that may still match.
+        sent_ms: `sent_ms` of the message answered.
     """
 
     term: int
@@ -130,7 +151,7 @@
 
 
 class Heartbeat(Message, frozen=True):
-    """Renews the leader's lease and carries the commit index."""
+    """Renews the leader's lease and carries its commit index."""
 
     term: int
     commit: int
@@ -145,11 +166,14 @@
 
 
 class SnapshotOffer(Message, frozen=True):
-    """Says that entries which the other lacks are only in a snapshot.
+    """Offers a snapshot that covers entries which the log no longer holds.
 
     Attributes:
+        term: the leader's term.
         index: last index that the snapshot covers.
         last_term: term of that entry.
+        members: members as of that entry.
+        sent_ms: the leader's monotonic time, which the reply echoes.
     """
 
     term: int
@@ -160,7 +184,7 @@
 
 
 class TimeoutNow(Message, frozen=True):
-    """Asks the receiver to stand for election at once."""
+    """Asks the receiver to start an election at once."""
 
     term: int
 
@@ -180,10 +204,10 @@
 
 
 class Ballot(Message, frozen=True, order=True):
-    """Number of an attempt to found a system, unique to who makes it.
+    """Number of an attempt to found a system; no two attempts share one.
 
     Attributes:
-        count: the higher one wins; 0 for none.
+        count: compared first; the higher ballot wins. 0 for no attempt.
         node: identity of the seed that makes the attempt.
     """
 
@@ -192,20 +216,22 @@
 
 
 class Proposal(Message, frozen=True):
-    """First members that a seed has accepted."""
+    """First members of the system, as proposed in one attempt."""
 
     ballot: Ballot
     members: Members
 
 
 class Prepare(Message, frozen=True):
-    """Asks a seed to accept no proposal of an earlier attempt any more.
+    """Asks a seed to promise to accept no proposal of an earlier attempt.
 
     Attributes:
-        sender: identity of the seed that asks.
-        to: identity of the seed that is asked.
-        seeds: addresses that may found the system, as the sender knows them.
-        counts_empty: whether seeds that may have lost their disks count.
+        sender: identity of the seed that makes the attempt.
+        to: identity of the receiver.
+        ballot: number of the attempt.
+        seeds: addresses of all seeds according to the sender's settings.
+        counts_empty: whether the attempt counts the answers of seeds that may
+            have lost their disks.
     """
 
     sender: str
@@ -219,9 +245,12 @@
     """Answers a `Prepare`.
 
     Attributes:
-        address: of the seed that answers.
-        ballot: what it has promised: a higher one where it refuses.
-        empty: whether it may have lost what it promised before.
+        sender: identity of the seed that answers.
+        to: identity of the receiver.
+        address: peer address of the seed that answers.
+        ballot: the highest ballot that it has promised; higher than the
+            requested one if it refuses.
+        empty: whether it may have lost its disk and what it promised before.
         accepted: the newest proposal that it has accepted.
     """
 
@@ -234,7 +263,7 @@
 
 
 class Propose(Message, frozen=True):
-    """Asks a seed that has promised to accept the first members."""
+    """Asks a seed that has sent its promise to accept a proposal."""
 
     sender: str
     to: str
@@ -242,7 +271,14 @@
 
 
 class Accepted(Message, frozen=True):
-    """Says that a proposal is on the sender's disk."""
+    """Confirms that the sender has accepted a proposal and synced it to disk.
+
+    Attributes:
+        sender: identity of the seed that accepted.
+        to: identity of the receiver.
+        address: peer address of the seed that accepted.
+        ballot: ballot of the proposal.
+    """
 
     sender: str
     to: str
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -37,7 +37,7 @@
         self.sim = sim
         self.address = address
         self.name = f"{address}#{next(sim.lives)}"
-        self.rate = 1 + sim.rng.uniform(-1, 1) * state.CLOCK_DRIFT
+        self.rate = 1 + sim.rng.uniform(-1, 1) * state.MAX_CLOCK_DRIFT_SHARE
         self.offset = sim.rng.randint(10_000, 1_000_000)
         self.disk = Disk(image)
         self.up = False
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -110,9 +110,13 @@
         leader_terms = []
         for skip_pre_vote in (False, True):
             patch = (
-                mock.patch.object(election, "stand", election.campaign)
+                mock.patch.object(
+                    election, "start_pre_vote", election.start_election
+                )
                 if skip_pre_vote
-                else mock.patch.object(election, "stand", election.stand)
+                else mock.patch.object(
+                    election, "start_pre_vote", election.start_pre_vote
+                )
             )
             with patch:
                 sim = simulation.Simulation(1, 3, loses_disks=False)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,11 +19,11 @@
     members += [Member(node=n, address=f"{n}:1", voter=False) for n in learners]
     stored = StoredState(members=Members(members=members), term=1)
     state = State("a", stored, random.Random(1), 0, Timing())
-    leading.begin(state, 0)
-    state.announced = True
+    leading.become_leader(state, 0)
+    state.leadership_reported = True
     state.commit = state.log.last
     for progress in state.progress.values():
-        progress.match = state.log.last
+        progress.match_index = state.log.last
         progress.acked_ms = _NOW_MS
     return state
 
@@ -36,10 +36,10 @@
 def _settle(state: State) -> list[str]:
     """Takes all steps that are due; returns the voters."""
     for _ in range(4):
-        membership.settle(state, _NOW_MS)
+        membership.promote_learner(state, _NOW_MS)
         state.commit = state.log.last
         for progress in state.progress.values():
-            progress.match = state.log.last
+            progress.match_index = state.log.last
     return sorted(state.log.voters)
 
 
@@ -60,7 +60,7 @@
         """The step between the two must bear the loss of one more voter."""
         state = _leader("abcde", learners="f")
         _silence(state, "e")
-        membership.settle(state, _NOW_MS)
+        membership.promote_learner(state, _NOW_MS)
         self.assertEqual(list("abcd"), sorted(state.log.voters))
 
     def test_voter_stays_while_all_are_heard(self) -> None:
@@ -113,10 +113,10 @@
                 state.progress[node].acked_ms = now_ms
             # What it has is always 30 ms old: some records behind.
             state.progress["f"].acked_ms = now_ms
-            state.progress["f"].match = state.log.last - 3
-            membership.settle(state, now_ms)
+            state.progress["f"].match_index = state.log.last - 3
+            membership.promote_learner(state, now_ms)
             for _ in range(6):
-                leading.append(state, EntryKind.DATA, b"", now_ms)
+                leading.append_entry(state, EntryKind.DATA, b"", now_ms)
             state.commit = state.log.last
         self.assertEqual(list("abcdf"), sorted(state.log.voters))
 
@@ -128,17 +128,17 @@
         state = _leader("abcde", learners="f")
         _silence(state, "e")
         for _ in range(100):
-            leading.append(state, EntryKind.DATA, b"", _NOW_MS)
-        state.commit = state.mark_last = state.log.last
-        state.progress["f"].match = 0
+            leading.append_entry(state, EntryKind.DATA, b"", _NOW_MS)
+        state.commit = state.sample_last = state.log.last
+        state.progress["f"].match_index = 0
         now_ms = _NOW_MS
         for _ in range(40):
             now_ms += 50
             for node in "bcdf":
                 state.progress[node].acked_ms = now_ms
-            state.progress["f"].match += 1
-            membership.settle(state, now_ms)
+            state.progress["f"].match_index += 1
+            membership.promote_learner(state, now_ms)
             for _ in range(6):
-                leading.append(state, EntryKind.DATA, b"", now_ms)
+                leading.append_entry(state, EntryKind.DATA, b"", now_ms)
             state.commit = state.log.last
         self.assertNotIn("f", state.log.voters)
