--- a/catkinpin/core/consensus/founding.py
+++ b/catkinpin/core/consensus/founding.py
@@ -1,14 +1,15 @@
-"""Agreement of the seeds on the first members, reached once.
-
-The seeds decide on one value, the first members, as single-decree Paxos does:
-an attempt has a ballot, seeds promise and then accept, and what may have been
-decided by an earlier attempt is proposed again. What a seed says is on its disk
-before it is sent.
-
-A seed with an empty disk that was not told that the system starts for the
-first time may have promised, accepted, or even served before it lost its disk.
-It counts only in an attempt that every seed answers, and only after a time in
-which nobody said that a founded system exists.
+"""One-time agreement of the seeds on the first members of the system.
+
+The seeds decide on one value, the first members, by single-decree Paxos. Each
+attempt has a ballot. Seeds first promise, then accept. A value that an earlier
+attempt may have decided is proposed again. A seed syncs its state to disk
+before it sends a message that depends on it.
+
+A seed with an empty disk may have promised or accepted something, or even
+belonged to a founded system, before it lost its disk, unless its settings say
+that the system starts for the first time. Such a seed counts only in attempts
+that all seeds answer, and only after a time in which no process has reported a
+founded system.
 """
 
 from __future__ import annotations
@@ -44,20 +45,25 @@
 
 @dataclasses.dataclass
 class _Attempt:
-    """An attempt of this seed.
+    """An attempt of this seed to found the system.
 
     Attributes:
-        sent_ms: when the seeds were last asked.
-        asked: identity of each seed that was asked, by address.
-        promises: answers so far, by address.
-        accepted: seeds that have accepted, each with whether it is empty.
+        ballot: its number.
+        counts_empty: whether it counts seeds that may have lost their disks.
+        started_ms: time from which `attempt_timeout_ms` counts.
+        last_request_ms: time at which requests were last sent.
+        nodes_by_address: identities of the seeds that are asked.
+        promises: promises received, by address.
+        accepted: addresses of the seeds that have accepted, each with whether
+            the seed may have lost its disk.
+        members: the first members that it proposes; None before it does.
     """
 
     ballot: Ballot
     counts_empty: bool
-    begun_ms: int
-    sent_ms: int
-    asked: dict[str, str]
+    started_ms: int
+    last_request_ms: int
+    nodes_by_address: dict[str, str]
     promises: dict[str, Promise] = dataclasses.field(default_factory=dict)
     accepted: dict[str, bool] = dataclasses.field(default_factory=dict)
     members: Members | None = None
@@ -70,9 +76,13 @@
         node: identity of this seed.
         address: its peer address.
         seeds: addresses of all seeds, its own included.
-        record: what was found on the disk.
-        now_ms: monotonic time that counts a suspended host's sleep, too.
-        timing: times of the founding.
+        record: state read from the disk.
+        now_ms: monotonic time, which must advance while the host is suspended.
+        timing: timeouts of the founding.
+
+    Attributes:
+        record: state as of the last `Save` command.
+        knows_group: whether a process has reported a founded system.
     """
 
     def __init__(
@@ -91,22 +101,22 @@
         self.knows_group = False
         self._timing = timing or FoundingTiming()
         self._presence = Presence(
-            len(self.seeds), record.empty, self._timing.touch_ms
+            len(self.seeds), record.empty, self._timing.silence_timeout_ms
         )
-        self._differing: set[str] = set()
-        self._next_ms = now_ms
-        self._highest = record.promised
+        self._differing_seeds: set[str] = set()
+        self._next_attempt_ms = now_ms
+        self._highest_ballot = record.promised
         self._attempt: _Attempt | None = None
         self._out: list[Command] = []
 
     def introduction(self) -> Introduction:
-        """Returns what this seed says of itself."""
+        """Returns this seed's introduction to the other seeds."""
         return Introduction(
             self.node, self.address, self.record.empty, self.knows_group
         )
 
     def handle_introduction(self, info: Introduction, now_ms: int) -> None:
-        """Takes what another seed that waits says of itself."""
+        """Handles the introduction of another seed."""
         if info.address not in self.seeds or info.address == self.address:
             return
         self._presence.note_introduction(info, now_ms)
@@ -115,17 +125,18 @@
         self.tick(now_ms)
 
     def group_known(self) -> None:
-        """Notes that somebody knows of a founded system.
+        """Records that another process knows of a founded system.
 
-        Seeds with empty disks found nothing from now on; those that kept
-        theirs know better than who said it.
+        From now on no attempt may count seeds that may have lost their disks.
+        Seeds that kept their disks can still found the system: what they have
+        stored is more reliable than the report.
         """
         self.knows_group = True
         if self._attempt is not None and self._attempt.counts_empty:
             self._attempt = None
 
     def step(self, msg: FoundingMessage, now_ms: int) -> None:
-        """Takes a message of another seed."""
+        """Handles a message from another seed."""
         if msg.to != self.node:
             return
         match msg:
@@ -139,96 +150,108 @@
                 self._on_accepted(msg)
 
     def tick(self, now_ms: int) -> None:
-        """Begins an attempt once one can succeed, and ends one that is late."""
+        """Starts an attempt once it can succeed; ends one that timed out."""
         self._presence.update(now_ms)
         attempt = self._attempt
         if attempt is not None:
-            if now_ms - attempt.begun_ms < self._timing.answer_ms:
-                if now_ms - attempt.sent_ms >= self._timing.resend_ms:
-                    self._ask(attempt, now_ms)
+            if now_ms - attempt.started_ms < self._timing.attempt_timeout_ms:
+                if (
+                    now_ms - attempt.last_request_ms
+                    >= self._timing.resend_interval_ms
+                ):
+                    self._send_requests(attempt, now_ms)
                 return
-            if attempt.members is None and self._may_decide(
+            if attempt.members is None and self._is_quorum(
                 {a: p.empty for a, p in attempt.promises.items()}
             ):
                 self._propose(attempt, now_ms)
-                attempt.begun_ms = now_ms
+                attempt.started_ms = now_ms
                 return
-            self._give_up(now_ms)
-        ready_ms = self._ready_ms()
-        present = self._presence.nodes(now_ms)
-        if ready_ms is None or self._is_copied(present):
+            self._abandon_attempt(now_ms)
+        earliest_ms = self._earliest_attempt_ms()
+        present = self._presence.reachable_nodes(now_ms)
+        if earliest_ms is None or self._has_duplicate_identity(present):
             return
         rank = sum(address < self.address for address in present)
-        turn_ms = ready_ms + rank * self._timing.retry_ms
-        if now_ms >= max(turn_ms, self._next_ms):
-            self._begin(now_ms)
+        own_turn_ms = earliest_ms + rank * self._timing.retry_delay_ms
+        if now_ms >= max(own_turn_ms, self._next_attempt_ms):
+            self._start_attempt(now_ms)
 
     def wait_status(self, now_ms: int) -> WaitStatus:
-        """Returns what the founding waits for."""
-        present = {self.address, *self._presence.nodes(now_ms)}
-        away = tuple(a for a in self.seeds if a not in present)
-        if self._is_copied(self._presence.nodes(now_ms)):
-            return WaitStatus("seeds with copies of one data folder", away)
-        if self._differing:
-            return WaitStatus("seeds name other seeds", tuple(self._differing))
-        if self._presence.kept(now_ms) >= self._majority():
-            return WaitStatus("seeds about to agree", away)
+        """Returns why the system is not founded yet."""
+        present = {self.address, *self._presence.reachable_nodes(now_ms)}
+        absent = tuple(a for a in self.seeds if a not in present)
+        if self._has_duplicate_identity(self._presence.reachable_nodes(now_ms)):
+            return WaitStatus("seeds with copies of one data folder", absent)
+        if self._differing_seeds:
+            return WaitStatus(
+                "seeds name other seeds", tuple(self._differing_seeds)
+            )
+        if self._presence.count_kept_disks(now_ms) >= self._majority_size():
+            return WaitStatus("seeds about to agree", absent)
         if self.knows_group:
             return WaitStatus(
-                "a founded system of which no member answers", away
+                "a founded system of which no member answers", absent
             )
-        if away:
-            return WaitStatus("too few seeds that kept their disks", away)
+        if absent:
+            return WaitStatus("too few seeds that kept their disks", absent)
         return WaitStatus("all disks are empty; anyone who knows a system")
 
     def take_output(self) -> list[Command]:
-        """Returns the commands since the last call, in order."""
+        """Returns the commands queued since the last call, in order."""
         out, self._out = self._out, []
         return out
 
-    # When to begin.
+    # Conditions for an attempt.
 
-    def _majority(self) -> int:
+    def _majority_size(self) -> int:
         return len(self.seeds) // 2 + 1
 
-    def _is_copied(self, present: dict[str, str]) -> bool:
-        """Returns whether two seeds have one identity.
+    def _has_duplicate_identity(self, present: dict[str, str]) -> bool:
+        """Returns whether two seeds have the same identity.
 
         Each would vote in the name of both.
+
+        Args:
+            present: identities of the other reachable seeds, by address.
         """
         return len({self.node, *present.values()}) <= len(present)
 
-    def _ready_ms(self) -> int | None:
-        """Returns the time from which an attempt may be made, if any."""
+    def _earliest_attempt_ms(self) -> int | None:
+        """Returns the earliest time of an attempt, None if none may be made."""
         presence = self._presence
-        complete = presence.complete_since_ms
+        all_since_ms = presence.all_since_ms
         if presence.majority_since_ms is not None:
-            if complete is not None:
-                return complete
-            return presence.majority_since_ms + self._timing.grace_ms
-        if complete is not None and not self.knows_group:
-            return complete + self._timing.empty_disks_wait_ms
+            if all_since_ms is not None:
+                return all_since_ms
+            return (
+                presence.majority_since_ms + self._timing.absent_seeds_wait_ms
+            )
+        if all_since_ms is not None and not self.knows_group:
+            return all_since_ms + self._timing.empty_disks_wait_ms
         return None
 
-    # This seed's attempt.
+    # Attempts of this seed.
 
-    def _begin(self, now_ms: int) -> None:
-        ballot = Ballot(count=self._highest.count + 1, node=self.node)
+    def _start_attempt(self, now_ms: int) -> None:
+        ballot = Ballot(count=self._highest_ballot.count + 1, node=self.node)
         counts_empty = self._presence.majority_since_ms is None
-        asked = self._presence.nodes(now_ms)
-        attempt = _Attempt(ballot, counts_empty, now_ms, now_ms, asked)
+        nodes_by_address = self._presence.reachable_nodes(now_ms)
+        attempt = _Attempt(
+            ballot, counts_empty, now_ms, now_ms, nodes_by_address
+        )
         self._attempt = attempt
         self._save(dataclasses.replace(self.record, promised=ballot))
-        self._ask(attempt, now_ms)
+        self._send_requests(attempt, now_ms)
         attempt.promises[self.address] = self._promise(self.node)
-        if not asked:
+        if not nodes_by_address:
             self._propose(attempt, now_ms)
 
-    def _ask(self, attempt: _Attempt, now_ms: int) -> None:
-        """Sends what the seeds that have not answered are to answer."""
-        attempt.sent_ms = now_ms
+    def _send_requests(self, attempt: _Attempt, now_ms: int) -> None:
+        """Sends the present phase's request to seeds that have not answered."""
+        attempt.last_request_ms = now_ms
         if attempt.members is None:
-            for address, node in attempt.asked.items():
+            for address, node in attempt.nodes_by_address.items():
                 if address not in attempt.promises:
                     self._out.append(Send(self._prepare(attempt, node)))
             return
@@ -249,44 +272,49 @@
             counts_empty=attempt.counts_empty,
         )
 
-    def _give_up(self, now_ms: int) -> None:
+    def _abandon_attempt(self, now_ms: int) -> None:
         self._attempt = None
-        self._next_ms = now_ms + self._timing.retry_ms
+        self._next_attempt_ms = now_ms + self._timing.retry_delay_ms
 
-    def _may_decide(self, empty: dict[str, bool]) -> bool:
-        """Returns whether these seeds are enough, by who lost its disk."""
-        if len(empty) - sum(empty.values()) >= self._majority():
+    def _is_quorum(self, lost_disks: dict[str, bool]) -> bool:
+        """Returns whether the answers of these seeds suffice.
+
+        Args:
+            lost_disks: addresses of the seeds, each with whether the seed may
+                have lost its disk.
+        """
+        if len(lost_disks) - sum(lost_disks.values()) >= self._majority_size():
             return True
         attempt = self._attempt
         return (
             attempt is not None
             and attempt.counts_empty
-            and len(empty) == len(self.seeds)
+            and len(lost_disks) == len(self.seeds)
         )
 
     def _on_promise(self, msg: Promise, now_ms: int) -> None:
         attempt = self._attempt
-        self._highest = max(self._highest, msg.ballot)
+        self._highest_ballot = max(self._highest_ballot, msg.ballot)
         if attempt is None or attempt.members is not None:
             return
         if msg.ballot > attempt.ballot:
-            self._give_up(now_ms)
+            self._abandon_attempt(now_ms)
             return
         if msg.ballot != attempt.ballot:
             return
-        if attempt.asked.get(msg.address) != msg.sender:
+        if attempt.nodes_by_address.get(msg.address) != msg.sender:
             return
         attempt.promises[msg.address] = msg
-        if len(attempt.promises) == len(attempt.asked) + 1:
+        if len(attempt.promises) == len(attempt.nodes_by_address) + 1:
             self._propose(attempt, now_ms)
 
     def _propose(self, attempt: _Attempt, now_ms: int) -> None:
         promises = attempt.promises
-        if not self._may_decide({a: p.empty for a, p in promises.items()}):
+        if not self._is_quorum({a: p.empty for a, p in promises.items()}):
             return
         accepted = [p.accepted for p in promises.values() if p.accepted]
         if accepted:
-            # An earlier attempt may have decided on these.
+            # An earlier attempt may have decided on the newest of these.
             newest = max(accepted, key=lambda proposal: proposal.ballot)
             members = newest.members
         else:
@@ -299,8 +327,8 @@
         attempt.members = members
         proposal = Proposal(ballot=attempt.ballot, members=members)
         self._save(dataclasses.replace(self.record, accepted=proposal))
-        self._ask(attempt, now_ms)
-        self._count(attempt, self.address)
+        self._send_requests(attempt, now_ms)
+        self._count_acceptance(attempt, self.address)
 
     def _on_accepted(self, msg: Accepted) -> None:
         attempt = self._attempt
@@ -311,36 +339,36 @@
             and msg.address in attempt.promises
             and attempt.promises[msg.address].sender == msg.sender
         ):
-            self._count(attempt, msg.address)
+            self._count_acceptance(attempt, msg.address)
 
-    def _count(self, attempt: _Attempt, address: str) -> None:
+    def _count_acceptance(self, attempt: _Attempt, address: str) -> None:
         attempt.accepted[address] = attempt.promises[address].empty
-        if self._may_decide(attempt.accepted):
+        if self._is_quorum(attempt.accepted):
             assert attempt.members is not None
             self._out.append(Decided(attempt.members))
 
-    # What others attempt.
+    # Attempts of other seeds.
 
     def _on_prepare(self, msg: Prepare, now_ms: int) -> None:
-        self._highest = max(self._highest, msg.ballot)
+        self._highest_ballot = max(self._highest_ballot, msg.ballot)
         if sorted(msg.seeds) != list(self.seeds):
-            self._differing = set(msg.seeds) ^ set(self.seeds)
+            self._differing_seeds = set(msg.seeds) ^ set(self.seeds)
             return
         if msg.counts_empty and self.knows_group:
             return
         if msg.ballot > self.record.promised:
             if self._attempt is not None:
-                self._give_up(now_ms)
-            self._yield(now_ms)
+                self._abandon_attempt(now_ms)
+            self._postpone_own_attempt(now_ms)
             self._save(dataclasses.replace(self.record, promised=msg.ballot))
         self._out.append(Send(self._promise(msg.sender)))
 
     def _on_propose(self, msg: Propose, now_ms: int) -> None:
         proposal = msg.proposal
-        outdated = proposal.ballot < self.record.promised
-        if outdated or (self.record.empty and self.knows_group):
+        is_outdated = proposal.ballot < self.record.promised
+        if is_outdated or (self.record.empty and self.knows_group):
             return
-        self._yield(now_ms)
+        self._postpone_own_attempt(now_ms)
         if proposal != self.record.accepted:
             self._save(
                 dataclasses.replace(
@@ -358,10 +386,10 @@
             )
         )
 
-    def _yield(self, now_ms: int) -> None:
-        """Gives another's attempt the time to end."""
-        wait_ms = self._timing.answer_ms + self._timing.retry_ms
-        self._next_ms = max(self._next_ms, now_ms + wait_ms)
+    def _postpone_own_attempt(self, now_ms: int) -> None:
+        """Leaves another seed's attempt time to complete."""
+        wait_ms = self._timing.attempt_timeout_ms + self._timing.retry_delay_ms
+        self._next_attempt_ms = max(self._next_attempt_ms, now_ms + wait_ms)
 
     def _promise(self, to: str) -> Promise:
         return Promise(
--- a/catkinpin/core/consensus/foundingtypes.py
+++ b/catkinpin/core/consensus/foundingtypes.py
@@ -1,4 +1,4 @@
-"""What the founding of a system keeps, is told, and asks its driver to do."""
+"""Timeouts, stored record, events and commands of the founding of a system."""
 
 from __future__ import annotations
 
@@ -17,33 +17,37 @@
 
 @dataclasses.dataclass(frozen=True)
 class FoundingTiming:
-    """Times in ms.
+    """Timeouts of the founding.
 
     Attributes:
-        touch_ms: a seed that was silent for so long is out of touch.
-        answer_ms: longest wait for the answers to one attempt.
-        resend_ms: a seed that has not answered is asked again so often.
-        retry_ms: a seed lets those with lower addresses try so long before.
-        grace_ms: a majority waits so long for the other seeds.
-        empty_disks_wait_ms: all seeds wait so long for anyone who knows of a
-            founded system, where a majority of them has an empty disk.
+        silence_timeout_ms: time without an introduction after which a seed
+            counts as unreachable.
+        attempt_timeout_ms: time after which an attempt goes on with the
+            promises that it has, or is abandoned.
+        resend_interval_ms: time between two requests to a seed that has not
+            answered.
+        retry_delay_ms: time before a seed's next attempt; also the head start
+            that a seed gives each reachable seed with a lower address.
+        absent_seeds_wait_ms: how long a majority waits for the other seeds.
+        empty_disks_wait_ms: how long the seeds wait for a process that knows of
+            a founded system if a majority of them may have lost their disks.
     """
 
-    touch_ms: int = 1_000
-    answer_ms: int = 500
-    resend_ms: int = 100
-    retry_ms: int = 500
-    grace_ms: int = 2_000
+    silence_timeout_ms: int = 1_000
+    attempt_timeout_ms: int = 500
+    resend_interval_ms: int = 100
+    retry_delay_ms: int = 500
+    absent_seeds_wait_ms: int = 2_000
     empty_disks_wait_ms: int = 3_000
 
 
 @dataclasses.dataclass(frozen=True)
 class SeedRecord:
-    """What a seed keeps on its disk.
+    """What a seed stores on its disk.
 
     Attributes:
-        empty: whether an earlier disk may have been lost.
-        promised: the newest attempt that it has answered.
+        empty: whether the seed may have lost an earlier disk.
+        promised: the highest ballot that it has promised.
         accepted: the newest proposal that it has accepted.
     """
 
@@ -54,13 +58,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Introduction:
-    """What a seed that waits says of itself.
+    """How a seed that waits for the founding describes itself to the others.
 
     Attributes:
         node: its identity.
         address: its peer address.
-        empty: whether an earlier disk of it may have been lost.
-        knows_group: whether anyone told it of a founded system.
+        empty: whether it may have lost an earlier disk.
+        knows_group: whether another process has told it of a founded system.
     """
 
     node: str
@@ -71,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Save:
-    """Sync the record before anything that follows."""
+    """Write and sync the record before carrying out later commands."""
 
     record: SeedRecord
 
@@ -85,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decided:
-    """The system is founded by these members."""
+    """Report that the seeds have agreed on the first members."""
 
     members: Members
 
@@ -95,8 +99,9 @@
     """Why the system is not founded yet.
 
     Attributes:
-        reason: in a few words.
-        seeds: addresses of those that are out of touch.
+        reason: short description.
+        seeds: addresses of the seeds concerned: the unreachable ones, or those
+            that only some seeds list in their settings.
     """
 
     reason: str
--- a/catkinpin/core/consensus/presence.py
+++ b/catkinpin/core/consensus/presence.py
@@ -1,4 +1,4 @@
-"""Which seeds of a system that is not founded yet are in touch."""
+"""Reachability of the seeds while the system is not founded yet."""
 
 from __future__ import annotations
 
@@ -9,58 +9,63 @@
 
 
 class Presence:
-    """The other seeds, as they introduced themselves last.
+    """The latest introduction of each other seed.
 
     Args:
-        seeds: how many there are, this one included.
-        empty: whether this seed may have lost a disk.
-        touch_ms: a seed that was silent for so long is out of touch.
+        seed_count: number of seeds, this one included.
+        empty: whether this seed may have lost its disk.
+        silence_timeout_ms: time without an introduction after which a seed
+            counts as unreachable.
 
     Attributes:
-        majority_since_ms: since when a majority that kept its disks has been
-            in touch; None where it is not.
-        complete_since_ms: since when all seeds have been in touch, the same
-            ones; None where they are not.
+        majority_since_ms: time since which a majority of seeds that kept their
+            disks has been reachable; None if there is none.
+        all_since_ms: time since which all seeds have been reachable, with
+            unchanged identities; None if they are not.
     """
 
-    def __init__(self, seeds: int, empty: bool, touch_ms: int) -> None:
-        self._seeds = seeds
+    def __init__(
+        self, seed_count: int, empty: bool, silence_timeout_ms: int
+    ) -> None:
+        self._seed_count = seed_count
         self._empty = empty
-        self._touch_ms = touch_ms
+        self._silence_timeout_ms = silence_timeout_ms
         self._others: dict[str, Introduction] = {}
         self._introduced_ms: dict[str, int] = {}
         self.majority_since_ms: int | None = None
-        self.complete_since_ms: int | None = None
+        self.all_since_ms: int | None = None
 
     def note_introduction(self, info: Introduction, now_ms: int) -> None:
-        """Takes the introduction of another seed."""
-        before = self._others.get(info.address)
-        if before is not None and before.node != info.node:
-            self.complete_since_ms = None
+        """Records the introduction of another seed."""
+        known = self._others.get(info.address)
+        if known is not None and known.node != info.node:
+            self.all_since_ms = None
         self._others[info.address] = info
         self._introduced_ms[info.address] = now_ms
 
     def update(self, now_ms: int) -> None:
-        """Takes the time that has passed into account."""
-        if len(self.nodes(now_ms)) + 1 < self._seeds:
-            self.complete_since_ms = None
-        elif self.complete_since_ms is None:
-            self.complete_since_ms = now_ms
-        if self.kept(now_ms) <= self._seeds // 2:
+        """Updates since when the seeds have been reachable."""
+        if len(self.reachable_nodes(now_ms)) + 1 < self._seed_count:
+            self.all_since_ms = None
+        elif self.all_since_ms is None:
+            self.all_since_ms = now_ms
+        if self.count_kept_disks(now_ms) <= self._seed_count // 2:
             self.majority_since_ms = None
         elif self.majority_since_ms is None:
             self.majority_since_ms = now_ms
 
-    def nodes(self, now_ms: int) -> dict[str, str]:
-        """Returns the identities of the others in touch, by address."""
-        since_ms = now_ms - self._touch_ms
+    def reachable_nodes(self, now_ms: int) -> dict[str, str]:
+        """Returns the identities of the other reachable seeds, by address."""
+        reachable_since_ms = now_ms - self._silence_timeout_ms
         return {
             address: info.node
             for address, info in self._others.items()
-            if self._introduced_ms[address] > since_ms
+            if self._introduced_ms[address] > reachable_since_ms
         }
 
-    def kept(self, now_ms: int) -> int:
-        """Returns how many seeds in touch have surely never lost a disk."""
-        others = [self._others[address] for address in self.nodes(now_ms)]
+    def count_kept_disks(self, now_ms: int) -> int:
+        """Returns how many reachable seeds surely kept their disks."""
+        others = [
+            self._others[address] for address in self.reachable_nodes(now_ms)
+        ]
         return sum(not other.empty for other in others) + (not self._empty)
