--- a/catkinpin/core/consensus/core.py
+++ b/catkinpin/core/consensus/core.py
@@ -126,7 +126,7 @@
             case messages.VoteReply():
                 election.on_vote_reply(state, sender, msg, now_ms)
             case messages.SnapshotOffer():
-                following.on_offer(state, sender, msg, now_ms)
+                following.on_snapshot_offer(state, sender, msg, now_ms)
             case messages.TimeoutNow():
                 election.on_timeout_now(state, msg, now_ms)
             case _:
--- a/catkinpin/core/consensus/following.py
+++ b/catkinpin/core/consensus/following.py
@@ -70,7 +70,7 @@
     return is_unchanged
 
 
-def on_offer(
+def on_snapshot_offer(
     state: State, sender: str, msg: messages.SnapshotOffer, now_ms: int
 ) -> None:
     """Fetches the offered snapshot if it is ahead of the commit index."""
--- a/tests/fakes/lognode.py
+++ b/tests/fakes/lognode.py
@@ -1,4 +1,4 @@
-"""A replica that only keeps logs, with small state machines of its own."""
+"""Replica process that replicates logs for small test state machines."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     from catkinpin.adapters.replica.groups import Group
 
 
-class ListMachine:
-    """Counts records; its snapshot refers to every tenth of them."""
+class CountingMachine:
+    """Counts the applied records; its snapshot refers to every tenth one."""
 
     def __init__(self) -> None:
         self.applied = 0
@@ -56,19 +56,23 @@
 
 
 class LogNode:
-    """A node with `count` groups, named g0, g1 and so on."""
+    """A replica with `count` groups, named g0, g1 and so on."""
 
     def __init__(
-        self, folder: pathlib.Path, place: int, ports: list[int], count: int = 1
+        self,
+        folder: pathlib.Path,
+        replica_index: int,
+        ports: list[int],
+        count: int = 1,
     ) -> None:
         addresses = [f"127.0.0.1:{port}" for port in ports]
         self.cfg = ReplicaSettings(
             data_folder=folder,
-            peer_listen=addresses[place],
+            peer_listen=addresses[replica_index],
             replicas=addresses,
             snapshot_entries=self.snapshot_entries,
         )
-        self.address = addresses[place]
+        self.address = addresses[replica_index]
         self.failure: Exception | None = None
         self.node = node.Node(
             NodeConfig(
@@ -79,7 +83,7 @@
             lambda group: None,
             self._fail,
         )
-        self.machines = [ListMachine() for _ in range(count)]
+        self.machines = [CountingMachine() for _ in range(count)]
         self.groups: list[Group] = [
             self.node.add_group(f"g{number}", machine)
             for number, machine in enumerate(self.machines)
@@ -109,12 +113,12 @@
 
     async def commit(self, payload: bytes, group: int = 0) -> float:
         """Proposes a record; returns the seconds until it was applied."""
-        begun = time.perf_counter()
+        started_s = time.perf_counter()
         fut = asyncio.get_running_loop().create_future()
         self.machines[group].waiters[payload] = fut
         self.groups[group].propose(payload)
         await fut
-        return time.perf_counter() - begun
+        return time.perf_counter() - started_s
 
     def _handle(self, stream: links.Stream, message: Any) -> None:
         if isinstance(message, messages.Hello):
--- a/tests/fakes/simdisk.py
+++ b/tests/fakes/simdisk.py
@@ -1,4 +1,4 @@
-"""A disk of the consensus simulation: what is synced lasts."""
+"""Disk of the consensus simulation, which keeps what was synced."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass
 class Image:
-    """What a disk holds."""
+    """Contents of a disk."""
 
     term: int = 0
     vote: str = ""
@@ -29,7 +29,7 @@
     applied: list[tuple[int, bytes]] = dataclasses.field(default_factory=list)
     log: list[messages.Entry] = dataclasses.field(default_factory=list)
 
-    def cut(self, last: int) -> None:
+    def truncate_after(self, last: int) -> None:
         self.log = [e for e in self.log if e.index <= last]
 
     def compact(self, base: int, term: int, members: Members) -> None:
@@ -38,23 +38,28 @@
 
 
 class Disk:
-    """Operations last once synced; a crash keeps some prefix of the rest."""
+    """A disk that keeps synced operations in a crash.
+
+    Of the operations that are not synced a crash keeps a random prefix.
+    """
 
     def __init__(self, image: Image) -> None:
         self.image = image
-        self.durable = dataclasses.replace(image, log=list(image.log))
-        self.pending: list[Callable[[Image], None]] = []
+        self.synced_image = dataclasses.replace(image, log=list(image.log))
+        self.unsynced_operations: list[Callable[[Image], None]] = []
 
     def do(self, op: Callable[[Image], None]) -> None:
         op(self.image)
-        self.pending.append(op)
+        self.unsynced_operations.append(op)
 
     def sync(self) -> None:
-        for op in self.pending:
-            op(self.durable)
-        self.pending = []
+        for op in self.unsynced_operations:
+            op(self.synced_image)
+        self.unsynced_operations = []
 
     def crash(self, rng: random.Random) -> None:
-        for op in self.pending[: rng.randint(0, len(self.pending))]:
-            op(self.durable)
-        self.__init__(self.durable)  # type: ignore[misc]
+        for op in self.unsynced_operations[
+            : rng.randint(0, len(self.unsynced_operations))
+        ]:
+            op(self.synced_image)
+        self.__init__(self.synced_image)  # type: ignore[misc]
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,7 +1,8 @@
-"""Drives consensus cores through faults, from one seed, on virtual time.
+"""Simulates a group of consensus cores with random faults in virtual time.
 
-Every node has a clock that drifts, a disk whose unsynced operations may be
-lost, and a machine that lists what was applied. Checks run after each event.
+A seed determines the whole run. Each node has a clock that drifts, a disk that
+may lose unsynced operations, and a state machine that lists the applied
+entries. Checks run after each event.
 """
 
 from __future__ import annotations
@@ -19,34 +20,36 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-TICK_MS = 25
+TICK_INTERVAL_MS = 25
 
 
 class CheckError(AssertionError):
-    """Something that must always hold did not."""
+    """An invariant was violated."""
 
 
 class Crash(Exception):  # noqa: N818
-    """The node dies between two disk operations."""
+    """The node crashes between two disk operations."""
 
 
 class Node:
-    """One replica."""
+    """One simulated replica with its clock, disk and state machine."""
 
     def __init__(self, sim: Simulation, address: str, image: Image) -> None:
         self.sim = sim
         self.address = address
-        self.name = f"{address}#{next(sim.lives)}"
-        self.rate = 1 + sim.rng.uniform(-1, 1) * state.MAX_CLOCK_DRIFT_SHARE
-        self.offset = sim.rng.randint(10_000, 1_000_000)
+        self.name = f"{address}#{next(sim.incarnation_numbers)}"
+        self.clock_rate = (
+            1 + sim.rng.uniform(-1, 1) * state.MAX_CLOCK_DRIFT_SHARE
+        )
+        self.clock_offset_ms = sim.rng.randint(10_000, 1_000_000)
         self.disk = Disk(image)
-        self.up = False
-        self.frozen_until = 0.0
+        self.is_up = False
+        self.frozen_until_ms = 0.0
         self.loading_ms = 0
-        self.died = 0.0
+        self.crashed_at_ms = 0.0
 
     def now(self) -> int:
-        return int(self.sim.now * self.rate) + self.offset
+        return int(self.sim.now * self.clock_rate) + self.clock_offset_ms
 
     def start(self) -> None:
         image = self.disk.image
@@ -67,72 +70,79 @@
             random.Random(seed),
             self.now(),
             self.sim.timing,
-            # No process begins before the one before it has died.
-            self.now() - min(self.loading_ms, int(self.sim.now - self.died)),
+            # A process cannot start before the previous one has crashed.
+            self.now()
+            - min(self.loading_ms, int(self.sim.now - self.crashed_at_ms)),
         )
         self.applied = list(image.applied)
         self.applied_index = image.snapshot
         self.leading = False
-        self.up = True
+        self.is_up = True
 
     def crash(self) -> None:
-        self.up = False
+        self.is_up = False
         self.leading = False
-        self.died = self.sim.now
+        self.crashed_at_ms = self.sim.now
         self.disk.crash(self.sim.rng)
 
     def restart(self) -> None:
-        if not self.up:
+        if not self.is_up:
             self.start()
 
-    def run(self, event: Callable[[], Any]) -> None:
-        """Lets the core take an event, later where the node is frozen."""
-        if self.sim.now < self.frozen_until:
-            self.sim.at(self.frozen_until, lambda: self.run(event))
-        elif self.up:
+    def handle(self, event: Callable[[], Any]) -> None:
+        """Runs an event on the core, after the freeze if the node is frozen."""
+        if self.sim.now < self.frozen_until_ms:
+            self.sim.schedule(self.frozen_until_ms, lambda: self.handle(event))
+        elif self.is_up:
             try:
                 event()
                 self.flush()
             except Crash:
                 self.crash()
                 delay = self.sim.rng.randint(50, 3000)
-                self.sim.at(self.sim.now + delay, self.restart)
+                self.sim.schedule(self.sim.now + delay, self.restart)
 
     def flush(self) -> None:
         while out := self.core.take_output(self.now()):
-            later = [c for c in out if not self.before_sync(c)]
-            self.may_crash()
+            commands_after_sync = [
+                c for c in out if not self.execute_before_sync(c)
+            ]
+            self.crash_at_random()
             self.disk.sync()
-            self.may_crash()
+            self.crash_at_random()
             log = self.core.state.log
             self.core.synced(log.last, log.last_term, self.now())
-            for command in later:
-                self.after_sync(command)
+            for command in commands_after_sync:
+                self.execute_after_sync(command)
 
-    def may_crash(self) -> None:
+    def crash_at_random(self) -> None:
         if self.sim.rng.random() < self.sim.crash_chance:
             raise Crash
 
-    def before_sync(self, command: commands.Command) -> bool:
+    def execute_before_sync(self, command: commands.Command) -> bool:
         match command:
             case commands.SaveState(term, vote, led):
                 if self.sim.saves_votes:
-                    self.write(lambda i: _set(i, term=term, vote=vote, led=led))
+                    self.write(
+                        lambda i: _set_fields(i, term=term, vote=vote, led=led)
+                    )
             case commands.SaveEntries(entries):
-                self.write(lambda i: _extend(i, entries))
+                self.write(lambda i: _write_entries(i, entries))
             case commands.Restore(offer, keeps_tail):
                 self.restore(offer, keeps_tail)
             case commands.Send(to, message, False):
                 self.sim.send(self, to, message)
-            case commands.Send(to, message, True) if self.sim.acks_early:
+            case commands.Send(to, message, True) if self.sim.acks_before_sync:
                 self.sim.send(self, to, message)
             case commands.SendEntries(to, message, first, last):
-                self.sim.send(self, to, _filled(self, message, first, last))
+                self.sim.send(
+                    self, to, _with_entries(self, message, first, last)
+                )
             case _:
                 return False
         return True
 
-    def after_sync(self, command: commands.Command) -> None:
+    def execute_after_sync(self, command: commands.Command) -> None:
         match command:
             case commands.Send(to, message):
                 self.sim.send(self, to, message)
@@ -144,7 +154,7 @@
                 self.sim.fetch(self, sender, offer)
 
     def write(self, op: Callable[[Image], None]) -> None:
-        self.may_crash()
+        self.crash_at_random()
         self.disk.do(op)
 
     def apply(self, first: int, last: int) -> None:
@@ -168,7 +178,7 @@
         self.applied, self.applied_index = list(applied), offer.index
 
     def take_snapshot(self) -> None:
-        """Writes a snapshot and cuts the log, with some tail left."""
+        """Writes a snapshot and drops most of the log's entries before it."""
         log = self.core.state.log
         index, applied = self.applied_index, list(self.applied)
         base = max(log.base, index - self.sim.rng.randint(0, 20))
@@ -186,71 +196,79 @@
 
 
 class Simulation:
-    """A group, its network, its faults and the checks."""
+    """A group of nodes with its network, faults and checks.
+
+    Attributes:
+        timing: timeouts of the group.
+        saves_votes: whether terms and votes are written to disk; False breaks
+            the nodes on purpose.
+        acks_before_sync: whether votes and acknowledgements are sent before
+            the sync; True breaks the nodes on purpose.
+    """
 
     timing = state.Timing()
     saves_votes = True
-    acks_early = False
+    acks_before_sync = False
 
     def __init__(self, seed: int, size: int, loses_disks: bool = True) -> None:
         self.rng = random.Random(seed)
-        self.lives = itertools.count(1)
+        self.incarnation_numbers = itertools.count(1)
         self.now = 0.0
         self.crash_chance = 0.0
-        self.loss = 0.0
-        self.cuts: set[tuple[str, str]] = set()
+        self.loss_chance = 0.0
+        self.cut_links: set[tuple[str, str]] = set()
         self.loses_disks = loses_disks
-        self.recovering = False
-        self.calm = False
-        self.leaders: dict[int, str] = {}
-        self.committed: dict[int, messages.Entry] = {}
-        self.acked = 0
-        self.proposed = itertools.count()
+        self.faults_stopped = False
+        self.proposals_stopped = False
+        self.leader_by_term: dict[int, str] = {}
+        self.committed_entries: dict[int, messages.Entry] = {}
+        self.last_acked_index = 0
+        self.payload_numbers = itertools.count()
         self._queue: list[Any] = []
         self._order = itertools.count()
         self.nodes = [Node(self, f"host-{n}", Image()) for n in range(size)]
         members = [Member(node=n.name, address=n.address) for n in self.nodes]
         for node in self.nodes:
             node.disk = Disk(Image(members=Members(members=members)))
-            self.begin(node)
+            self.start_node(node)
 
-    def begin(self, node: Node) -> None:
+    def start_node(self, node: Node) -> None:
         node.fetched = {}
         node.start()
         self.tick(node)
 
-    def at(self, when: float, what: Callable[[], Any]) -> None:
-        heapq.heappush(self._queue, (when, next(self._order), what))
+    def schedule(self, at_ms: float, event: Callable[[], Any]) -> None:
+        heapq.heappush(self._queue, (at_ms, next(self._order), event))
 
     def run_until(self, end: float) -> None:
         while self._queue and self._queue[0][0] <= end:
-            self.now, _, what = heapq.heappop(self._queue)
-            what()
+            self.now, _, event = heapq.heappop(self._queue)
+            event()
             self.check()
         self.now = end
 
     def tick(self, node: Node) -> None:
         if node in self.nodes:
-            if self.now >= node.frozen_until:
-                node.run(lambda: node.core.tick(node.now()))
-            self.at(self.now + TICK_MS, lambda: self.tick(node))
+            if self.now >= node.frozen_until_ms:
+                node.handle(lambda: node.core.tick(node.now()))
+            self.schedule(self.now + TICK_INTERVAL_MS, lambda: self.tick(node))
 
     def send(self, node: Node, to: str, message: Any) -> None:
-        for _ in range(2 if self.rng.random() < self.loss / 2 else 1):
-            if self.rng.random() >= self.loss:
+        for _ in range(2 if self.rng.random() < self.loss_chance / 2 else 1):
+            if self.rng.random() >= self.loss_chance:
                 delay = self.rng.uniform(0.2, 8)
-                if self.rng.random() < self.loss:
+                if self.rng.random() < self.loss_chance:
                     delay = self.rng.uniform(1, 2500)
-                self.at(
+                self.schedule(
                     self.now + delay,
                     lambda: self.deliver(node, to, message),
                 )
 
     def deliver(self, sender: Node, to: str, message: Any) -> None:
         node = self.find(to)
-        if node is None or (sender.address, node.address) in self.cuts:
+        if node is None or (sender.address, node.address) in self.cut_links:
             return
-        node.run(lambda: node.core.step(sender.name, message, node.now()))
+        node.handle(lambda: node.core.step(sender.name, message, node.now()))
 
     def find(self, name: str) -> Node | None:
         return next((n for n in self.nodes if n.name == name), None)
@@ -258,149 +276,156 @@
     def fetch(self, node: Node, sender: str, offer: Any) -> None:
         source = self.find(sender)
         image = source.disk.image if source is not None else Image()
-        if source is None or not source.up or image.snapshot != offer.index:
+        if source is None or not source.is_up or image.snapshot != offer.index:
             return
         node.fetched[offer.index] = list(image.applied)
         delay = self.rng.uniform(1, 400)
-        self.at(
+        self.schedule(
             self.now + delay,
-            lambda: node.run(lambda: node.core.install(sender, offer)),
+            lambda: node.handle(lambda: node.core.install(sender, offer)),
         )
 
     def propose(self) -> None:
-        """A caller writes wherever a replica says that it leads."""
-        if self.calm:
+        """Proposes an entry to every node that believes itself the leader."""
+        if self.proposals_stopped:
             return
         for node in self.nodes:
-            if node.up and node.leading:
-                self.propose_to(node, b"%d" % next(self.proposed))
-        # Pauses matter: only a quiet log lets one that was cut off win.
+            if node.is_up and node.leading:
+                self.propose_to(node, b"%d" % next(self.payload_numbers))
+        # Long pauses are needed: a node that was cut off can only win an
+        # election if no entries were added meanwhile.
         longest = self.rng.choice([60] * 30 + [4000])
-        self.at(self.now + self.rng.uniform(1, longest), self.propose)
+        self.schedule(self.now + self.rng.uniform(1, longest), self.propose)
 
     def propose_to(self, node: Node, payload: bytes) -> None:
-        node.run(lambda: node.core.propose(payload, node.now()))
+        node.handle(lambda: node.core.propose(payload, node.now()))
 
     # Faults.
 
-    def fault(self) -> None:
-        if self.recovering:
+    def inject_fault(self) -> None:
+        if self.faults_stopped:
             return
         node = self.rng.choice(self.nodes)
         until = self.now + self.rng.uniform(50, 3000)
         match self.rng.randint(0, 8):
-            case 0 if node.up:
+            case 0 if node.is_up:
                 node.crash()
-                self.at(until, node.restart)
+                self.schedule(until, node.restart)
             case 1:
-                node.frozen_until = until
+                node.frozen_until_ms = until
             case 2:
-                self.cut({(node.address, o.address) for o in self.nodes}, until)
+                self.cut_until(
+                    {(node.address, o.address) for o in self.nodes}, until
+                )
             case 3:
-                self.cut({(o.address, node.address) for o in self.nodes}, until)
+                self.cut_until(
+                    {(o.address, node.address) for o in self.nodes}, until
+                )
             case 4:
                 other = self.rng.choice(self.nodes)
-                self.cut({(node.address, other.address)}, until)
-            case 5 if node.up:
-                node.run(lambda: node.core.transfer(node.now()))
-            case 6 | 7 if node.up:
-                node.run(node.take_snapshot)
-            case 8 if self.loses_disks and self.whole():
+                self.cut_until({(node.address, other.address)}, until)
+            case 5 if node.is_up:
+                node.handle(lambda: node.core.transfer(node.now()))
+            case 6 | 7 if node.is_up:
+                node.handle(node.take_snapshot)
+            case 8 if self.loses_disks and self.is_repaired():
                 self.lose_disk(node)
-        self.at(self.now + self.rng.uniform(20, 900), self.fault)
+        self.schedule(self.now + self.rng.uniform(20, 900), self.inject_fault)
 
-    def cut(self, links: set[tuple[str, str]], until: float) -> None:
-        self.cuts |= links
-        self.at(until, lambda: self.cuts.difference_update(links))
+    def cut_until(self, links: set[tuple[str, str]], until: float) -> None:
+        self.cut_links |= links
+        self.schedule(until, lambda: self.cut_links.difference_update(links))
 
-    def whole(self) -> bool:
-        """Returns whether every node is a voter that has the log."""
+    def is_repaired(self) -> bool:
+        """Returns whether all nodes are up and committed as voters."""
         names = sorted(node.name for node in self.nodes)
         for node in self.nodes:
-            core_state = node.core.state if node.up else None
+            consensus_state = node.core.state if node.is_up else None
             if (
-                core_state is None
-                or sorted(core_state.log.members.voters()) != names
-                or core_state.log.members_index > core_state.commit
+                consensus_state is None
+                or sorted(consensus_state.log.members.voters()) != names
+                or consensus_state.log.members_index > consensus_state.commit
             ):
                 return False
         return True
 
     def lose_disk(self, node: Node) -> Node:
-        """The node comes back with an empty disk, so as another node."""
-        node.up = False
-        fresh = Node(self, node.address, Image())
-        self.nodes[self.nodes.index(node)] = fresh
-        self.begin(fresh)
-        self.join(fresh)
-        return fresh
-
-    def join(self, fresh: Node) -> None:
-        """Asks the leader for membership until the fresh node votes."""
+        """Replaces the node by one with an empty disk and a new identity."""
+        node.is_up = False
+        new_node = Node(self, node.address, Image())
+        self.nodes[self.nodes.index(node)] = new_node
+        self.start_node(new_node)
+        self.join(new_node)
+        return new_node
+
+    def join(self, new_node: Node) -> None:
+        """Asks all nodes to add the new node until it is a voter."""
         for node in self.nodes:
-            if node.up:
-                self.add_learner(node, fresh)
-        if fresh in self.nodes and not self.whole():
-            self.at(self.now + 300, lambda: self.join(fresh))
+            if node.is_up:
+                self.add_learner(node, new_node)
+        if new_node in self.nodes and not self.is_repaired():
+            self.schedule(self.now + 300, lambda: self.join(new_node))
 
-    def add_learner(self, node: Node, fresh: Node) -> None:
+    def add_learner(self, node: Node, new_node: Node) -> None:
         add = node.core.add_learner
-        node.run(lambda: add(fresh.name, fresh.address, node.now()))
+        node.handle(lambda: add(new_node.name, new_node.address, node.now()))
 
     # Checks.
 
     def check_applied(self, node: Node, entry: messages.Entry) -> None:
         if entry.index != node.applied_index + 1:
             raise CheckError(f"{node.name} applies {entry} out of order")
-        known = self.committed.setdefault(entry.index, entry)
-        if known != entry:
-            raise CheckError(f"{known} was committed, now {entry}")
+        first_committed = self.committed_entries.setdefault(entry.index, entry)
+        if first_committed != entry:
+            raise CheckError(f"{first_committed} was committed, now {entry}")
         if node.leading:
-            self.acked = max(self.acked, entry.index)
+            self.last_acked_index = max(self.last_acked_index, entry.index)
 
     def check(self) -> None:
-        holders = []
+        lease_holders = []
         for node in self.nodes:
-            if not node.up:
+            if not node.is_up:
                 continue
             if node.core.role is state.Role.LEADER:
-                first = self.leaders.setdefault(node.core.term, node.name)
-                if first != node.name:
+                leader = self.leader_by_term.setdefault(
+                    node.core.term, node.name
+                )
+                if leader != node.name:
                     raise CheckError(f"two leaders in {node.core.term}")
             if node.leading and node.core.holds_lease(node.now()):
-                holders.append(node)
-        if len(holders) > 1:
-            raise CheckError(f"two leases: {[n.name for n in holders]}")
-        for node in holders:
-            if node.applied_index < self.acked:
-                raise CheckError(f"{node.name} would answer an old read")
+                lease_holders.append(node)
+        if len(lease_holders) > 1:
+            raise CheckError(f"two leases: {[n.name for n in lease_holders]}")
+        for node in lease_holders:
+            if node.applied_index < self.last_acked_index:
+                raise CheckError(f"{node.name} would serve a stale read")
 
 
-class Blackouts(Simulation):
-    """Now and then all nodes die at once, and are back one by one."""
+class PowerLossSimulation(Simulation):
+    """Occasionally crashes all nodes at once; they restart one by one."""
 
-    def fault(self) -> None:
-        super().fault()
-        if self.recovering or self.rng.random() > 0.15:
+    def inject_fault(self) -> None:
+        super().inject_fault()
+        if self.faults_stopped or self.rng.random() > 0.15:
             return
         for node in self.nodes:
             node.loading_ms = self.rng.randint(0, 300)
-            if node.up:
+            if node.is_up:
                 node.crash()
-            self.at(self.now + self.rng.uniform(300, 900), node.restart)
+            self.schedule(self.now + self.rng.uniform(300, 900), node.restart)
 
 
-def _set(image: Image, **fields: Any) -> None:
+def _set_fields(image: Image, **fields: Any) -> None:
     for name, value in fields.items():
         setattr(image, name, value)
 
 
-def _extend(image: Image, entries: list[messages.Entry]) -> None:
-    image.cut(entries[0].index - 1)
+def _write_entries(image: Image, entries: list[messages.Entry]) -> None:
+    image.truncate_after(entries[0].index - 1)
     image.log.extend(entries)
 
 
-def _filled(node: Node, message: Any, first: int, last: int) -> Any:
+def _with_entries(node: Node, message: Any, first: int, last: int) -> Any:
     log = node.disk.image.log
     start = first - log[0].index
     entries = log[start : start + last - first + 1]
@@ -417,7 +442,9 @@
 def run(
     seed: int, size: int, kind: type[Simulation] = Simulation, **options: Any
 ) -> Simulation:
-    """Runs a group through 20 s of faults and a calm end.
+    """Runs a group through 20 s of faults, then 22 s without faults.
+
+    No entries are proposed in the last 2 s.
 
     Raises:
         CheckError: a check failed, or the group did not recover.
@@ -425,27 +452,27 @@
     sim = kind(seed, size, **options)
     sim.propose()
     sim.crash_chance = sim.rng.choice([0, 0.001, 0.01])
-    sim.loss = sim.rng.choice([0, 0.02, 0.15])
-    sim.at(500, sim.fault)
+    sim.loss_chance = sim.rng.choice([0, 0.02, 0.15])
+    sim.schedule(500, sim.inject_fault)
     sim.run_until(20_000)
-    sim.crash_chance = sim.loss = 0.0
-    sim.recovering = True
+    sim.crash_chance = sim.loss_chance = 0.0
+    sim.faults_stopped = True
     sim.run_until(40_000)
-    sim.calm = True
+    sim.proposals_stopped = True
     sim.run_until(42_000)
     states = {tuple(node.applied) for node in sim.nodes}
-    if len(states) != 1 or not sim.whole():
-        raise CheckError("the replicas do not agree once all is calm")
+    if len(states) != 1 or not sim.is_repaired():
+        raise CheckError("the replicas differ after the faults ended")
     return sim
 
 
 def main() -> None:
-    """Runs the seeds from the first argument to the one before the second.
+    """Runs the seeds from the first argument up to, not including, the second.
 
-    With a third, `blackouts`, all nodes die at once now and then.
+    With the third argument `blackouts`, all nodes crash at once occasionally.
     """
     first, last = map(int, sys.argv[1:3])
-    kind = Blackouts if "blackouts" in sys.argv[3:] else Simulation
+    kind = PowerLossSimulation if "blackouts" in sys.argv[3:] else Simulation
     failed = 0
     for seed in range(first, last):
         try:
--- a/tests/test_founders.py
+++ b/tests/test_founders.py
@@ -1,6 +1,6 @@
-"""Seeds agree on the first members once, whatever befalls them meanwhile.
+"""Tests that seeds agree on the first members exactly once despite faults.
 
-A model: the product's own `Founder` on simulated disks, links and processes.
+They run the product's `Founder` on simulated disks, links and processes.
 """
 
 from __future__ import annotations
@@ -23,22 +23,28 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# The pages give a system 12 s to recover; the bound of a founding is the same.
-_RECOVER_MS = 12_000
+# The documentation promises recovery within 12 s; a founding must meet it too.
+_MAX_RECOVERY_MS = 12_000
 _SETTLE_MS = 4_000
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """A fault that falls on a seed at a step of the founding."""
+    """A fault that is injected at a step of the founding.
+
+    Attributes:
+        step: number of the step.
+        kind: one of `foundingsim.FAULTS`.
+        seed: number of the seed that it affects.
+    """
 
     step: int
     kind: str
     seed: int
 
 
-class _Plan:
-    """Injects faults at their steps."""
+class _FaultInjector:
+    """Injects each fault at its step."""
 
     def __init__(self, faults: tuple[Fault, ...]) -> None:
         self.faults = faults
@@ -51,70 +57,73 @@
                 self.sim.inject(fault.kind, seed)
 
 
-def play(
+def simulate_first_start(
     faults: tuple[Fault, ...],
     count: int = 3,
     seed: int = 1,
-    make: Callable[..., Founder] = Founder,
+    make_founder: Callable[..., Founder] = Founder,
 ) -> Simulation:
-    """Plays a first start; raises `CheckError` where something is wrong."""
-    plan = _Plan(faults)
-    sim = Simulation(count, random.Random(seed), make, plan.on_step)
-    plan.sim = sim
+    """Runs a first start; raises `CheckError` if an invariant is violated."""
+    injector = _FaultInjector(faults)
+    sim = Simulation(count, random.Random(seed), make_founder, injector.on_step)
+    injector.sim = sim
     for number, host in enumerate(sim.seeds.values()):
-        sim.at(number * 30, functools.partial(host.start, first=True))
-    sim.run(_RECOVER_MS + _SETTLE_MS)
+        sim.schedule_in(number * 30, functools.partial(host.start, first=True))
+    sim.run(_MAX_RECOVERY_MS + _SETTLE_MS)
     return sim
 
 
-def _lose_a_disk_beside_a_late_seed(
-    make: Callable[..., Founder] = Founder,
+def _found_then_wipe_one_founder(
+    make_founder: Callable[..., Founder] = Founder,
 ) -> Simulation:
-    """Founds with two of three; one loses its disk, the other is cut off."""
-    sim = Simulation(3, random.Random(1), make)
+    """Founds a system with two of three seeds, then starts the third one.
+
+    Meanwhile one founder loses its disk and the other is cut off.
+    """
+    sim = Simulation(3, random.Random(1), make_founder)
     sim.seeds["s0"].start(first=True)
     sim.seeds["s1"].start(first=True)
     sim.run(_SETTLE_MS)
-    sim.inject("cut", sim.seeds["s0"], 2 * _RECOVER_MS)
+    sim.inject("cut", sim.seeds["s0"], 2 * _MAX_RECOVERY_MS)
     sim.inject("wipe", sim.seeds["s1"])
     sim.seeds["s2"].start(first=True)
-    sim.run(_SETTLE_MS + _RECOVER_MS)
+    sim.run(_SETTLE_MS + _MAX_RECOVERY_MS)
     return sim
 
 
-def _steps(count: int = 3) -> int:
-    return play((), count).steps
+def _count_steps(count: int = 3) -> int:
+    return simulate_first_start((), count).step_count
 
 
 class FoundingModelTest(base.TestCase):
     """Faults at each step of a first start."""
 
-    def test_calm_first_start_is_founded_by_all_seeds_at_once(self) -> None:
-        """Guards against a founding that leaves out a seed that is there."""
-        sim = play(())
+    def test_first_start_without_faults_includes_all_seeds(self) -> None:
+        """Guards against a founding without a seed that is reachable."""
+        sim = simulate_first_start(())
         sim.check_progress()
-        self.assertEqual(3, len(sim.values[0].members))
+        self.assertEqual(3, len(sim.founded_members[0].members))
 
     def test_one_fault_at_each_step_stops_no_founding(self) -> None:
-        """Guards against a fault in a first start that leaves no leader."""
-        steps = range(1, _steps() + 2)
+        """Guards against a fault in a first start that prevents a leader."""
+        steps = range(1, _count_steps() + 2)
         for step, kind, seed in itertools.product(
             steps, foundingsim.FAULTS, range(3)
         ):
-            sim = play((Fault(step, kind, seed),))
+            sim = simulate_first_start((Fault(step, kind, seed),))
             sim.check_progress()
 
-    def test_two_ends_at_each_pair_of_steps_stop_no_founding(self) -> None:
-        """Guards against seeds that end again and again in a first start."""
-        steps = _steps() + 2
+    def test_two_kills_at_each_pair_of_steps_stop_no_founding(self) -> None:
+        """Guards against seeds that crash repeatedly in a first start."""
+        steps = _count_steps() + 2
         pairs = itertools.combinations(range(1, steps), 2)
         for (first, second), one, other in itertools.product(
             pairs, range(3), range(3)
         ):
             faults = (Fault(first, "kill", one), Fault(second, "kill", other))
-            play(faults).check_progress()
+            simulate_first_start(faults).check_progress()
 
-    def test_drawn_faults_found_no_second_system(self) -> None:
+    def test_random_faults_found_no_second_system(self) -> None:
         """Guards against two foundings, with three seeds and with five."""
         for number in range(400):
             rng = random.Random(number)
@@ -127,44 +136,50 @@
                 )
                 for _ in range(rng.randint(2, 6))
             )
-            sim = play(faults, count, seed=number)
-            # A seed that the founding had to do without is a loss, too.
-            if sim.wiped + sim.absent() <= (count - 1) // 2:
+            sim = simulate_first_start(faults, count, seed=number)
+            # A seed that is not among the first members counts as lost, too.
+            if sim.wiped_count + sim.count_absent_seeds() <= (count - 1) // 2:
                 sim.check_progress()
 
     def test_all_seeds_killed_before_they_wrote_anything(self) -> None:
-        """Guards against a system that waits for ever for a first start."""
+        """Guards against seeds that wait for ever for a first start.
+
+        No seed knows any more that the system starts for the first time.
+        """
         sim = Simulation(3, random.Random(1))
         for host in sim.seeds.values():
             host.start(first=False)
-        sim.run(_RECOVER_MS)
+        sim.run(_MAX_RECOVERY_MS)
         sim.check_progress()
 
     def test_two_of_three_killed_before_they_wrote_anything(self) -> None:
-        """Guards against a seed alone in knowing of the first start."""
+        """Guards against seeds that wait for ever for a first start.
+
+        Only one seed still knows that the system starts for the first time.
+        """
         sim = Simulation(3, random.Random(1))
         for number, host in enumerate(sim.seeds.values()):
             host.start(first=number == 0)
-        sim.run(_RECOVER_MS)
+        sim.run(_MAX_RECOVERY_MS)
         sim.check_progress()
 
     def test_third_seed_that_never_starts_is_not_waited_for(self) -> None:
-        """Guards against a dark host that keeps a whole system down."""
+        """Guards against a host that is off and keeps the system down."""
         sim = Simulation(3, random.Random(1))
         sim.seeds["s0"].start(first=True)
         sim.seeds["s2"].start(first=True)
-        sim.run(_RECOVER_MS)
-        self.assertEqual(2, len(sim.values[0].members))
+        sim.run(_MAX_RECOVERY_MS)
+        self.assertEqual(2, len(sim.founded_members[0].members))
         sim.seeds["s1"].start(first=True)
-        sim.run(_RECOVER_MS + _SETTLE_MS)
+        sim.run(_MAX_RECOVERY_MS + _SETTLE_MS)
         sim.check_progress()
 
     def test_seed_that_lost_its_disk_is_no_majority_with_another(self) -> None:
-        """Guards against a second system beside one that was founded."""
-        self.assertEqual(1, len(_lose_a_disk_beside_a_late_seed().values))
+        """Guards against a second system founded with a seed's empty disk."""
+        self.assertEqual(1, len(_found_then_wipe_one_founder().founded_members))
 
     def test_empty_seeds_found_nothing_where_a_system_is_known(self) -> None:
-        """Guards against founding over a system whose seeds lost all disks."""
+        """Guards against a second system when all seeds lost their disks."""
         sim = Simulation(3, random.Random(1))
         for host in sim.seeds.values():
             host.start(first=False)
@@ -172,47 +187,47 @@
         founder = sim.seeds["s2"].founder
         assert founder is not None
         founder.group_known()
-        sim.run(_RECOVER_MS)
-        self.assertEqual([], sim.values)
+        sim.run(_MAX_RECOVERY_MS)
+        self.assertEqual([], sim.founded_members)
 
     def test_halves_found_one_system(self) -> None:
-        """Guards against a system in each half of a cut network."""
+        """Guards against a system on each side of a network partition."""
         for alone in range(3):
             sim = Simulation(3, random.Random(alone))
             for host in sim.seeds.values():
                 host.start(first=True)
             sim.inject("cut", sim.seeds[f"s{alone}"], 8_000)
             sim.run(7_500)
-            self.assertEqual(2, len(sim.values[0].members))
-            sim.run(_RECOVER_MS)
+            self.assertEqual(2, len(sim.founded_members[0].members))
+            sim.run(_MAX_RECOVERY_MS)
             sim.check_progress()
 
 
 class FoundingRulesTest(base.TestCase):
-    """What a seed answers to others."""
+    """Answers of a seed to the other seeds."""
 
     def _founder(self, *, empty: bool = False) -> Founder:
         record = types.SeedRecord(empty)
         return Founder("n1", "a1", ("a1", "a2", "a3"), record, 0)
 
     def _prepare(self, **fields: object) -> messages.Prepare:
-        asked = {
+        fields_with_defaults = {
             "sender": "n2",
             "to": "n1",
             "ballot": messages.Ballot(count=1, node="n2"),
             "seeds": ["a1", "a2", "a3"],
             **fields,
         }
-        return messages.Prepare(**asked)  # type: ignore[arg-type]
+        return messages.Prepare(**fields_with_defaults)  # type: ignore[arg-type]
 
     def test_message_for_another_identity_is_not_answered(self) -> None:
-        """Guards against two keepers at one address that count as one."""
+        """Guards against counting two keepers at one address as one."""
         founder = self._founder()
         founder.step(self._prepare(to="n0"), 10)
         self.assertEqual([], founder.take_output())
 
     def test_seeds_that_differ_are_not_answered(self) -> None:
-        """Guards against majorities of different sets of seeds."""
+        """Guards against majorities counted over different sets of seeds."""
         founder = self._founder()
         founder.step(self._prepare(seeds=["a1", "a2", "a4"]), 10)
         self.assertEqual([], founder.take_output())
@@ -220,7 +235,7 @@
         self.assertEqual({"a3", "a4"}, set(wait_status.seeds))
 
     def test_copies_of_one_folder_found_nothing(self) -> None:
-        """Guards against two keepers that vote in one name."""
+        """Guards against two keepers that vote with one identity."""
         founder = self._founder()
         for address in ("a2", "a3"):
             info = types.Introduction("n2", address, empty=False)
@@ -229,7 +244,7 @@
         self.assertIn("copies", founder.wait_status(10).reason)
 
     def test_seed_that_is_named_twice_counts_once(self) -> None:
-        """Guards against a majority of one keeper with itself."""
+        """Guards against a majority made of one keeper counted twice."""
         seeds = ("a1", "a1", "a2")
         founder = Founder("n1", "a1", seeds, types.SeedRecord(empty=False), 0)
         founder.tick(10_000)
@@ -237,14 +252,14 @@
         self.assertEqual(("a2",), founder.wait_status(10_000).seeds)
 
     def test_promise_is_saved_before_it_is_sent(self) -> None:
-        """Guards against a promise that a power loss takes back."""
+        """Guards against a promise that a power loss erases."""
         founder = self._founder()
         founder.step(self._prepare(), 10)
         kinds = [type(command) for command in founder.take_output()]
         self.assertEqual([types.Save, types.Send], kinds)
 
     def test_earlier_attempt_is_refused_with_the_newer_one(self) -> None:
-        """Guards against a late message that undoes a promise."""
+        """Guards against a delayed message that overrides a promise."""
         founder = self._founder()
         newer = messages.Ballot(count=5, node="n3")
         founder.step(self._prepare(sender="n3", ballot=newer), 10)
@@ -256,28 +271,28 @@
         self.assertEqual(newer, sent.message.ballot)
 
 
-def _forgetful(
+def _without_disk_loss_flag(
     node: str,
     address: str,
     seeds: tuple[str, ...],
     record: types.SeedRecord,
     now_ms: int,
 ) -> Founder:
-    """Returns a seed that does not know that it may have lost its disk."""
-    kept = dataclasses.replace(record, empty=False)
-    return Founder(node, address, seeds, kept, now_ms)
+    """Returns a seed that wrongly reports that it kept its disk."""
+    wrong_record = dataclasses.replace(record, empty=False)
+    return Founder(node, address, seeds, wrong_record, now_ms)
 
 
-class _Stubborn(Founder):
-    """Proposes its own members, whatever was accepted before."""
+class _IgnoresAcceptedProposals(Founder):
+    """Faulty seed whose promises omit the proposal that it has accepted."""
 
     def _promise(self, to: str) -> messages.Promise:
         promise = super()._promise(to)
         return msgspec.structs.replace(promise, accepted=None)
 
 
-class _Hasty(Founder):
-    """Founds where a majority of the seeds has promised, accepted or not."""
+class _DecidesOnPromises(Founder):
+    """Faulty seed that decides once a majority has promised."""
 
     def _propose(self, attempt: Any, now_ms: int) -> None:
         super()._propose(attempt, now_ms)
@@ -286,9 +301,9 @@
 
 
 class MutationTest(base.TestCase):
-    """The model finds what would be wrong."""
+    """The simulation detects seeds that violate a rule of the agreement."""
 
-    def _finds(self, make: Callable[..., Founder]) -> bool:
+    def _finds_violation(self, make_founder: Callable[..., Founder]) -> bool:
         for number in range(3_000):
             rng = random.Random(number)
             faults = tuple(
@@ -300,17 +315,19 @@
                 for _ in range(4)
             )
             try:
-                play(faults, seed=number, make=make)
+                simulate_first_start(
+                    faults, seed=number, make_founder=make_founder
+                )
             except CheckError:
                 return True
         return False
 
     def test_model_finds_a_lost_disk_that_counts(self) -> None:
         with self.assertRaises(CheckError):
-            _lose_a_disk_beside_a_late_seed(_forgetful)
+            _found_then_wipe_one_founder(_without_disk_loss_flag)
 
     def test_model_finds_a_proposal_that_is_forgotten(self) -> None:
-        self.assertTrue(self._finds(_Stubborn))
+        self.assertTrue(self._finds_violation(_IgnoresAcceptedProposals))
 
     def test_model_finds_members_that_nobody_has_accepted(self) -> None:
-        self.assertTrue(self._finds(_Hasty))
+        self.assertTrue(self._finds_violation(_DecidesOnPromises))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Members that are replaced with nobody to confirm it."""
+"""Automatic replacement of group members, without an operator."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 _NOW_MS = 100_000
 
 
-def _leader(voters: str, learners: str = "") -> State:
-    """Returns the state of leader 'a', whose members have all it has."""
+def _leader_state(voters: str, learners: str = "") -> State:
+    """Returns the state of leader 'a'; all members have its whole log."""
     members = [Member(node=n, address=f"{n}:1") for n in voters]
     members += [Member(node=n, address=f"{n}:1", voter=False) for n in learners]
     stored = StoredState(members=Members(members=members), term=1)
@@ -28,13 +28,13 @@
     return state
 
 
-def _silence(state: State, *nodes: str) -> None:
+def _mark_silent(state: State, *nodes: str) -> None:
     for node in nodes:
         state.progress[node].acked_ms = 0
 
 
-def _settle(state: State) -> list[str]:
-    """Takes all steps that are due; returns the voters."""
+def _promote_until_done(state: State) -> list[str]:
+    """Takes all promotion steps that are possible; returns the voters."""
     for _ in range(4):
         membership.promote_learner(state, _NOW_MS)
         state.commit = state.log.last
@@ -44,74 +44,79 @@
 
 
 class SilentVoterTest(testtools.TestCase):
-    """Voters that are gone for good."""
+    """Replacement of voters that are lost permanently."""
 
-    def test_host_at_a_new_address_takes_a_dead_voters_place(self) -> None:
-        """A host goes for good; an empty one comes at another address.
+    def test_host_at_a_new_address_replaces_a_lost_voter(self) -> None:
+        """Guards against lost hosts that remain voters for ever.
 
-        Were the dead one to stay a voter, each such replacement would leave
-        one more, until the living are no majority and nothing commits.
+        A host is lost and an empty one joins at another address. After a few
+        such replacements the lost voters would be a majority, and nothing
+        could be committed.
         """
-        state = _leader("abcde", learners="f")
-        _silence(state, "e")
-        self.assertEqual(list("abcdf"), _settle(state))
-
-    def test_dead_voter_goes_before_the_new_one_votes(self) -> None:
-        """The step between the two must bear the loss of one more voter."""
-        state = _leader("abcde", learners="f")
-        _silence(state, "e")
+        state = _leader_state("abcde", learners="f")
+        _mark_silent(state, "e")
+        self.assertEqual(list("abcdf"), _promote_until_done(state))
+
+    def test_lost_voter_is_removed_before_the_new_one_votes(self) -> None:
+        """Guards against a step that does not tolerate another lost voter."""
+        state = _leader_state("abcde", learners="f")
+        _mark_silent(state, "e")
         membership.promote_learner(state, _NOW_MS)
         self.assertEqual(list("abcd"), sorted(state.log.voters))
 
     def test_voter_stays_while_all_are_heard(self) -> None:
-        """A sixth host comes; all five voters answer.
+        """Guards against a sixth voter while all five voters answer.
 
-        A sixth voter would bear no more losses and slow each commit.
+        It would not tolerate more losses and would slow down each commit.
         """
-        state = _leader("abcde", learners="f")
-        self.assertEqual(list("abcde"), _settle(state))
+        state = _leader_state("abcde", learners="f")
+        self.assertEqual(list("abcde"), _promote_until_done(state))
 
     def test_group_grows_to_five_voters(self) -> None:
-        """Three seeds found the system; two more hosts join."""
-        state = _leader("abc", learners="de")
-        self.assertEqual(list("abcde"), _settle(state))
+        """Two more hosts join a system that three seeds have founded."""
+        state = _leader_state("abc", learners="de")
+        self.assertEqual(list("abcde"), _promote_until_done(state))
 
-    def test_no_voter_goes_where_the_rest_could_not_commit(self) -> None:
-        """Half of the voters are cut off, for a while only.
+    def test_no_voter_is_removed_if_the_rest_could_not_commit(self) -> None:
+        """Guards against a membership change that could never commit.
 
-        With one taken out, the rest would need all that are left to commit,
-        and they don't answer: the change itself would never commit.
+        A majority of the voters is cut off for a while. Without one of them
+        the change would still need votes of voters that don't answer.
         """
-        state = _leader("abcde", learners="f")
-        _silence(state, "c", "d", "e")
-        self.assertEqual(list("abcde"), _settle(state))
+        state = _leader_state("abcde", learners="f")
+        _mark_silent(state, "c", "d", "e")
+        self.assertEqual(list("abcde"), _promote_until_done(state))
 
     def test_voter_that_was_just_lost_keeps_its_place(self) -> None:
-        """A host restarts within a second while another one waits to join."""
-        state = _leader("abcde", learners="f")
+        """Guards against replacing a host that only restarts.
+
+        The host restarts within a second while another one waits to join.
+        """
+        state = _leader_state("abcde", learners="f")
         state.progress["e"].acked_ms = _NOW_MS - 1_500
-        self.assertEqual(list("abcde"), _settle(state))
+        self.assertEqual(list("abcde"), _promote_until_done(state))
 
 
 class BusyGroupTest(testtools.TestCase):
-    """Learners of a group that commits all the time."""
+    """Learners of a group under constant load."""
 
     def test_far_learner_votes_though_records_never_stop(self) -> None:
-        """A host far away lost its disk, and turns go on at full rate.
+        """Guards against a distant learner that never becomes a voter.
 
-        The near voters commit each record before the far host has it, so it
-        is never as far as what is committed. Were that asked for, the lost
-        voter would keep its seat for as long as the load lasts; two more
-        losses, which must be borne, would then leave no quorum.
+        A distant host lost its disk while the load continues. The nearby
+        voters commit each record before the host has it, so it never reaches
+        the commit index. If it had to, the lost voter would remain a voter for
+        as long as the load lasts, and two more losses, which must be
+        tolerated, would leave no quorum.
         """
-        state = _leader("abcde", learners="f")
-        _silence(state, "e")
+        state = _leader_state("abcde", learners="f")
+        _mark_silent(state, "e")
         now_ms = _NOW_MS
         for _ in range(40):
             now_ms += 50
             for node in "bcd":
                 state.progress[node].acked_ms = now_ms
-            # What it has is always 30 ms old: some records behind.
+            # The learner lags by 30 ms, that is by a few records.
             state.progress["f"].acked_ms = now_ms
             state.progress["f"].match_index = state.log.last - 3
             membership.promote_learner(state, now_ms)
@@ -121,12 +126,13 @@
         self.assertEqual(list("abcdf"), sorted(state.log.voters))
 
     def test_learner_that_falls_behind_does_not_vote(self) -> None:
-        """A new host's disk is too slow for the load: it never keeps up.
+        """Guards against a voter that can't keep up with the load.
 
-        As a voter it could not help to commit; the next loss would stop all.
+        A new host's disk is too slow. As a voter it could not help to commit,
+        and the next loss would stop the group.
         """
-        state = _leader("abcde", learners="f")
-        _silence(state, "e")
+        state = _leader_state("abcde", learners="f")
+        _mark_silent(state, "e")
         for _ in range(100):
             leading.append_entry(state, EntryKind.DATA, b"", _NOW_MS)
         state.commit = state.sample_last = state.log.last
