--- a/catkinpin/core/consensus/core.py
+++ b/catkinpin/core/consensus/core.py
@@ -213,7 +213,7 @@
             Whether it was installed; False if this replica has already
             committed that far.
         """
-        return following.install(self.state, sender, offer)
+        return following.install_snapshot(self.state, sender, offer)
 
     def has_output(self) -> bool:
         """Returns whether `take_output` would return queued commands."""
--- a/catkinpin/core/consensus/following.py
+++ b/catkinpin/core/consensus/following.py
@@ -82,7 +82,9 @@
         state.emit(commands.Fetch(sender, msg))
 
 
-def install(state: State, sender: str, offer: messages.SnapshotOffer) -> bool:
+def install_snapshot(
+    state: State, sender: str, offer: messages.SnapshotOffer
+) -> bool:
     """Replaces the state by a fetched snapshot.
 
     Returns:
--- a/catkinpin/core/consensus/leading.py
+++ b/catkinpin/core/consensus/leading.py
@@ -49,7 +49,7 @@
 
 
 def replicate(state: State, now_ms: int) -> None:
-    """Sends new entries to each member whose in-flight limit permits it."""
+    """Sends new entries to each member up to its in-flight limit."""
     for node in state.progress:
         _send_entries(state, node, now_ms)
 
@@ -235,13 +235,16 @@
     if member is None:
         return
     log = state.log
-    limit = 1 if member.is_probing else _MAX_APPENDS_IN_FLIGHT
-    while member.next_index <= log.last and member.appends_in_flight < limit:
+    max_in_flight = 1 if member.is_probing else _MAX_APPENDS_IN_FLIGHT
+    while (
+        member.next_index <= log.last
+        and member.appends_in_flight < max_in_flight
+    ):
         prev_term = log.term_at(member.next_index - 1)
         if prev_term < 0:
             _offer_snapshot(state, node, member, now_ms)
             return
-        end = log.batch_end(
+        last_index = log.batch_end(
             member.next_index, _MAX_BATCH_ENTRIES, _MAX_BATCH_BYTES
         )
         message = messages.Append(
@@ -251,12 +254,14 @@
             commit=state.commit,
             sent_ms=now_ms,
         )
-        state.emit(commands.SendEntries(node, message, member.next_index, end))
+        state.emit(
+            commands.SendEntries(node, message, member.next_index, last_index)
+        )
         member.appends_in_flight += 1
         member.sent_ms = now_ms
         if member.is_probing:
             return
-        member.next_index = end + 1
+        member.next_index = last_index + 1
 
 
 def _offer_snapshot(
--- a/catkinpin/core/consensus/membership.py
+++ b/catkinpin/core/consensus/membership.py
@@ -28,7 +28,7 @@
     members = state.log.members
     if members.find(node) is not None:
         return True
-    replaced = _voter_at(state, address)
+    replaced = _find_voter_at(state, address)
     if not _may_change_members(state) or _is_responsive(
         state, replaced, now_ms
     ):
@@ -51,7 +51,7 @@
     if learner is None or not _may_change_members(state):
         return
     members = state.log.members.members
-    replaced = _voter_at(state, learner.address) or _find_silent_voter(
+    replaced = _find_voter_at(state, learner.address) or _find_silent_voter(
         state, now_ms
     )
     if replaced is None and len(state.log.voters) >= state.timing.max_voters:
@@ -114,7 +114,7 @@
     return None
 
 
-def _voter_at(state: State, address: str) -> Member | None:
+def _find_voter_at(state: State, address: str) -> Member | None:
     for member in state.log.members.members:
         if member.voter and member.address == address:
             return member
--- a/catkinpin/core/consensus/presence.py
+++ b/catkinpin/core/consensus/presence.py
@@ -30,18 +30,18 @@
         self._seed_count = seed_count
         self._empty = empty
         self._silence_timeout_ms = silence_timeout_ms
-        self._others: dict[str, Introduction] = {}
-        self._introduced_ms: dict[str, int] = {}
+        self._introductions: dict[str, Introduction] = {}
+        self._introduction_times_ms: dict[str, int] = {}
         self.majority_since_ms: int | None = None
         self.all_since_ms: int | None = None
 
     def note_introduction(self, info: Introduction, now_ms: int) -> None:
         """Records the introduction of another seed."""
-        known = self._others.get(info.address)
+        known = self._introductions.get(info.address)
         if known is not None and known.node != info.node:
             self.all_since_ms = None
-        self._others[info.address] = info
-        self._introduced_ms[info.address] = now_ms
+        self._introductions[info.address] = info
+        self._introduction_times_ms[info.address] = now_ms
 
     def update(self, now_ms: int) -> None:
         """Updates since when the seeds have been reachable."""
@@ -59,13 +59,14 @@
         reachable_since_ms = now_ms - self._silence_timeout_ms
         return {
             address: info.node
-            for address, info in self._others.items()
-            if self._introduced_ms[address] > reachable_since_ms
+            for address, info in self._introductions.items()
+            if self._introduction_times_ms[address] > reachable_since_ms
         }
 
     def count_kept_disks(self, now_ms: int) -> int:
         """Returns how many reachable seeds surely kept their disks."""
-        others = [
-            self._others[address] for address in self.reachable_nodes(now_ms)
+        introductions = [
+            self._introductions[address]
+            for address in self.reachable_nodes(now_ms)
         ]
-        return sum(not other.empty for other in others) + (not self._empty)
+        return sum(not info.empty for info in introductions) + (not self._empty)
--- a/tests/fakes/foundingsim.py
+++ b/tests/fakes/foundingsim.py
@@ -76,7 +76,7 @@
             self.address,
             tuple(self.sim.seeds),
             self.disk.record,
-            self.sim.now,
+            self.sim.now_ms,
         )
 
     def kill(self, *, wipe: bool = False) -> None:
@@ -94,14 +94,14 @@
         if self.founder is None or self.is_member:
             return
         if (
-            self.sim.now - self.last_introduction_ms
+            self.sim.now_ms - self.last_introduction_ms
             >= _INTRODUCTION_INTERVAL_MS
         ):
-            self.last_introduction_ms = self.sim.now
+            self.last_introduction_ms = self.sim.now_ms
             for other in self.sim.seeds.values():
                 if other is not self:
                     self.sim.send(self, other, self.founder.introduction())
-        self.founder.tick(self.sim.now)
+        self.founder.tick(self.sim.now_ms)
         self.execute_commands()
 
     def execute_commands(self) -> None:
@@ -149,9 +149,9 @@
                 self.disk.joined = True
             return
         if isinstance(message, types.Introduction):
-            self.founder.handle_introduction(message, self.sim.now)
+            self.founder.handle_introduction(message, self.sim.now_ms)
         else:
-            self.founder.step(message, self.sim.now)
+            self.founder.step(message, self.sim.now_ms)
         self.execute_commands()
 
 
@@ -176,7 +176,7 @@
         make_founder: Callable[..., Founder] = Founder,
         on_step: Callable[[int, Seed], None] = lambda _number, _seed: None,
     ) -> None:
-        self.now = 0
+        self.now_ms = 0
         self.make_founder = make_founder
         self.incarnation_numbers = itertools.count(1)
         self.rng = rng
@@ -191,7 +191,7 @@
         self._events: list[tuple[int, int, Callable[[], Any]]] = []
 
     def schedule_in(self, delay_ms: int, work: Callable[[], Any]) -> None:
-        entry = (self.now + delay_ms, next(self._order), work)
+        entry = (self.now_ms + delay_ms, next(self._order), work)
         heapq.heappush(self._events, entry)
 
     def record_step(self, seed: Seed) -> None:
@@ -204,11 +204,11 @@
             case "kill" | "wipe":
                 seed.kill(wipe=fault == "wipe")
             case "freeze":
-                seed.frozen_until_ms = self.now + for_ms
+                seed.frozen_until_ms = self.now_ms + for_ms
             case "cut":
-                seed.cut_until_ms = self.now + for_ms
+                seed.cut_until_ms = self.now_ms + for_ms
             case "mute":
-                seed.mute_until_ms = self.now + for_ms
+                seed.mute_until_ms = self.now_ms + for_ms
             case "lose":
                 self.lose_next_message = True
             case "late":
@@ -220,19 +220,19 @@
         blocked_until_ms = max(
             sender.cut_until_ms, to.cut_until_ms, sender.mute_until_ms
         )
-        if lost or blocked_until_ms > self.now:
+        if lost or blocked_until_ms > self.now_ms:
             return
         delay_ms = _LATE_DELAY_MS if late else self.rng.randint(1, 20)
         self.schedule_in(delay_ms, lambda: self._deliver(sender, to, message))
 
     def _deliver(self, sender: Seed, to: Seed, message: Any) -> None:
-        if to.frozen_until_ms > self.now:
-            wait_ms = to.frozen_until_ms - self.now
+        if to.frozen_until_ms > self.now_ms:
+            wait_ms = to.frozen_until_ms - self.now_ms
             self.schedule_in(
                 wait_ms, lambda: self._deliver(sender, to, message)
             )
             return
-        if to.cut_until_ms > self.now:
+        if to.cut_until_ms > self.now_ms:
             return
         self.record_step(to)
         to.receive(sender, message)
@@ -245,12 +245,12 @@
 
     def run(self, until_ms: int) -> None:
         """Runs the events until `until_ms`, with regular ticks of each seed."""
-        while self.now < until_ms:
-            self.now += _TICK_INTERVAL_MS
-            while self._events and self._events[0][0] <= self.now:
+        while self.now_ms < until_ms:
+            self.now_ms += _TICK_INTERVAL_MS
+            while self._events and self._events[0][0] <= self.now_ms:
                 heapq.heappop(self._events)[2]()
             for seed in self.seeds.values():
-                if seed.frozen_until_ms <= self.now:
+                if seed.frozen_until_ms <= self.now_ms:
                     seed.tick()
 
     def count_absent_seeds(self) -> int:
--- a/tests/fakes/simdisk.py
+++ b/tests/fakes/simdisk.py
@@ -48,18 +48,18 @@
         self.synced_image = dataclasses.replace(image, log=list(image.log))
         self.unsynced_operations: list[Callable[[Image], None]] = []
 
-    def do(self, op: Callable[[Image], None]) -> None:
-        op(self.image)
-        self.unsynced_operations.append(op)
+    def execute(self, operation: Callable[[Image], None]) -> None:
+        operation(self.image)
+        self.unsynced_operations.append(operation)
 
     def sync(self) -> None:
-        for op in self.unsynced_operations:
-            op(self.synced_image)
+        for operation in self.unsynced_operations:
+            operation(self.synced_image)
         self.unsynced_operations = []
 
     def crash(self, rng: random.Random) -> None:
-        for op in self.unsynced_operations[
+        for operation in self.unsynced_operations[
             : rng.randint(0, len(self.unsynced_operations))
         ]:
-            op(self.synced_image)
+            operation(self.synced_image)
         self.__init__(self.synced_image)  # type: ignore[misc]
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -48,8 +48,8 @@
         self.loading_ms = 0
         self.crashed_at_ms = 0.0
 
-    def now(self) -> int:
-        return int(self.sim.now * self.clock_rate) + self.clock_offset_ms
+    def now_ms(self) -> int:
+        return int(self.sim.now_ms * self.clock_rate) + self.clock_offset_ms
 
     def start(self) -> None:
         image = self.disk.image
@@ -68,11 +68,11 @@
             self.name,
             stored,
             random.Random(seed),
-            self.now(),
+            self.now_ms(),
             self.sim.timing,
             # A process cannot start before the previous one has crashed.
-            self.now()
-            - min(self.loading_ms, int(self.sim.now - self.crashed_at_ms)),
+            self.now_ms()
+            - min(self.loading_ms, int(self.sim.now_ms - self.crashed_at_ms)),
         )
         self.applied = list(image.applied)
         self.applied_index = image.snapshot
@@ -82,7 +82,7 @@
     def crash(self) -> None:
         self.is_up = False
         self.leading = False
-        self.crashed_at_ms = self.sim.now
+        self.crashed_at_ms = self.sim.now_ms
         self.disk.crash(self.sim.rng)
 
     def restart(self) -> None:
@@ -91,7 +91,7 @@
 
     def handle(self, event: Callable[[], Any]) -> None:
         """Runs an event on the core, after the freeze if the node is frozen."""
-        if self.sim.now < self.frozen_until_ms:
+        if self.sim.now_ms < self.frozen_until_ms:
             self.sim.schedule(self.frozen_until_ms, lambda: self.handle(event))
         elif self.is_up:
             try:
@@ -99,11 +99,11 @@
                 self.flush()
             except Crash:
                 self.crash()
-                delay = self.sim.rng.randint(50, 3000)
-                self.sim.schedule(self.sim.now + delay, self.restart)
+                delay_ms = self.sim.rng.randint(50, 3000)
+                self.sim.schedule(self.sim.now_ms + delay_ms, self.restart)
 
     def flush(self) -> None:
-        while out := self.core.take_output(self.now()):
+        while out := self.core.take_output(self.now_ms()):
             commands_after_sync = [
                 c for c in out if not self.execute_before_sync(c)
             ]
@@ -111,7 +111,7 @@
             self.disk.sync()
             self.crash_at_random()
             log = self.core.state.log
-            self.core.synced(log.last, log.last_term, self.now())
+            self.core.synced(log.last, log.last_term, self.now_ms())
             for command in commands_after_sync:
                 self.execute_after_sync(command)
 
@@ -153,9 +153,9 @@
             case commands.Fetch(sender, offer):
                 self.sim.fetch(self, sender, offer)
 
-    def write(self, op: Callable[[Image], None]) -> None:
+    def write(self, operation: Callable[[Image], None]) -> None:
         self.crash_at_random()
-        self.disk.do(op)
+        self.disk.execute(operation)
 
     def apply(self, first: int, last: int) -> None:
         for entry in self.disk.image.log:
@@ -165,16 +165,16 @@
                 if entry.kind is EntryKind.DATA:
                     self.applied.append((entry.index, entry.payload))
 
-    def restore(self, offer: messages.SnapshotOffer, tail: bool) -> None:
+    def restore(self, offer: messages.SnapshotOffer, keeps_tail: bool) -> None:
         applied = self.fetched[offer.index]
 
-        def op(image: Image) -> None:
-            if not tail:
+        def operation(image: Image) -> None:
+            if not keeps_tail:
                 image.log = []
             image.compact(offer.index, offer.last_term, offer.members)
             image.snapshot, image.applied = offer.index, list(applied)
 
-        self.write(op)
+        self.write(operation)
         self.applied, self.applied_index = list(applied), offer.index
 
     def take_snapshot(self) -> None:
@@ -184,11 +184,11 @@
         base = max(log.base, index - self.sim.rng.randint(0, 20))
         term, members = log.term_at(base), log.members_at(base)
 
-        def op(image: Image) -> None:
+        def operation(image: Image) -> None:
             image.snapshot, image.applied = index, applied
             image.compact(base, term, members)
 
-        self.write(op)
+        self.write(operation)
         self.disk.sync()
         self.core.compact(index, base)
 
@@ -213,7 +213,7 @@
     def __init__(self, seed: int, size: int, loses_disks: bool = True) -> None:
         self.rng = random.Random(seed)
         self.incarnation_numbers = itertools.count(1)
-        self.now = 0.0
+        self.now_ms = 0.0
         self.crash_chance = 0.0
         self.loss_chance = 0.0
         self.cut_links: set[tuple[str, str]] = set()
@@ -240,48 +240,50 @@
     def schedule(self, at_ms: float, event: Callable[[], Any]) -> None:
         heapq.heappush(self._queue, (at_ms, next(self._order), event))
 
-    def run_until(self, end: float) -> None:
-        while self._queue and self._queue[0][0] <= end:
-            self.now, _, event = heapq.heappop(self._queue)
+    def run_until(self, end_ms: float) -> None:
+        while self._queue and self._queue[0][0] <= end_ms:
+            self.now_ms, _, event = heapq.heappop(self._queue)
             event()
             self.check()
-        self.now = end
+        self.now_ms = end_ms
 
     def tick(self, node: Node) -> None:
         if node in self.nodes:
-            if self.now >= node.frozen_until_ms:
-                node.handle(lambda: node.core.tick(node.now()))
-            self.schedule(self.now + TICK_INTERVAL_MS, lambda: self.tick(node))
+            if self.now_ms >= node.frozen_until_ms:
+                node.handle(lambda: node.core.tick(node.now_ms()))
+            self.schedule(
+                self.now_ms + TICK_INTERVAL_MS, lambda: self.tick(node)
+            )
 
     def send(self, node: Node, to: str, message: Any) -> None:
         for _ in range(2 if self.rng.random() < self.loss_chance / 2 else 1):
             if self.rng.random() >= self.loss_chance:
-                delay = self.rng.uniform(0.2, 8)
+                delay_ms = self.rng.uniform(0.2, 8)
                 if self.rng.random() < self.loss_chance:
-                    delay = self.rng.uniform(1, 2500)
+                    delay_ms = self.rng.uniform(1, 2500)
                 self.schedule(
-                    self.now + delay,
+                    self.now_ms + delay_ms,
                     lambda: self.deliver(node, to, message),
                 )
 
     def deliver(self, sender: Node, to: str, message: Any) -> None:
-        node = self.find(to)
+        node = self.find_node(to)
         if node is None or (sender.address, node.address) in self.cut_links:
             return
-        node.handle(lambda: node.core.step(sender.name, message, node.now()))
+        node.handle(lambda: node.core.step(sender.name, message, node.now_ms()))
 
-    def find(self, name: str) -> Node | None:
+    def find_node(self, name: str) -> Node | None:
         return next((n for n in self.nodes if n.name == name), None)
 
     def fetch(self, node: Node, sender: str, offer: Any) -> None:
-        source = self.find(sender)
+        source = self.find_node(sender)
         image = source.disk.image if source is not None else Image()
         if source is None or not source.is_up or image.snapshot != offer.index:
             return
         node.fetched[offer.index] = list(image.applied)
-        delay = self.rng.uniform(1, 400)
+        delay_ms = self.rng.uniform(1, 400)
         self.schedule(
-            self.now + delay,
+            self.now_ms + delay_ms,
             lambda: node.handle(lambda: node.core.install(sender, offer)),
         )
 
@@ -294,11 +296,13 @@
                 self.propose_to(node, b"%d" % next(self.payload_numbers))
         # Long pauses are needed: a node that was cut off can only win an
         # election if no entries were added meanwhile.
-        longest = self.rng.choice([60] * 30 + [4000])
-        self.schedule(self.now + self.rng.uniform(1, longest), self.propose)
+        longest_pause_ms = self.rng.choice([60] * 30 + [4000])
+        self.schedule(
+            self.now_ms + self.rng.uniform(1, longest_pause_ms), self.propose
+        )
 
     def propose_to(self, node: Node, payload: bytes) -> None:
-        node.handle(lambda: node.core.propose(payload, node.now()))
+        node.handle(lambda: node.core.propose(payload, node.now_ms()))
 
     # Faults.
 
@@ -306,35 +310,37 @@
         if self.faults_stopped:
             return
         node = self.rng.choice(self.nodes)
-        until = self.now + self.rng.uniform(50, 3000)
+        until_ms = self.now_ms + self.rng.uniform(50, 3000)
         match self.rng.randint(0, 8):
             case 0 if node.is_up:
                 node.crash()
-                self.schedule(until, node.restart)
+                self.schedule(until_ms, node.restart)
             case 1:
-                node.frozen_until_ms = until
+                node.frozen_until_ms = until_ms
             case 2:
                 self.cut_until(
-                    {(node.address, o.address) for o in self.nodes}, until
+                    {(node.address, o.address) for o in self.nodes}, until_ms
                 )
             case 3:
                 self.cut_until(
-                    {(o.address, node.address) for o in self.nodes}, until
+                    {(o.address, node.address) for o in self.nodes}, until_ms
                 )
             case 4:
                 other = self.rng.choice(self.nodes)
-                self.cut_until({(node.address, other.address)}, until)
+                self.cut_until({(node.address, other.address)}, until_ms)
             case 5 if node.is_up:
-                node.handle(lambda: node.core.transfer(node.now()))
+                node.handle(lambda: node.core.transfer(node.now_ms()))
             case 6 | 7 if node.is_up:
                 node.handle(node.take_snapshot)
             case 8 if self.loses_disks and self.is_repaired():
                 self.lose_disk(node)
-        self.schedule(self.now + self.rng.uniform(20, 900), self.inject_fault)
+        self.schedule(
+            self.now_ms + self.rng.uniform(20, 900), self.inject_fault
+        )
 
-    def cut_until(self, links: set[tuple[str, str]], until: float) -> None:
+    def cut_until(self, links: set[tuple[str, str]], until_ms: float) -> None:
         self.cut_links |= links
-        self.schedule(until, lambda: self.cut_links.difference_update(links))
+        self.schedule(until_ms, lambda: self.cut_links.difference_update(links))
 
     def is_repaired(self) -> bool:
         """Returns whether all nodes are up and committed as voters."""
@@ -364,11 +370,11 @@
             if node.is_up:
                 self.add_learner(node, new_node)
         if new_node in self.nodes and not self.is_repaired():
-            self.schedule(self.now + 300, lambda: self.join(new_node))
+            self.schedule(self.now_ms + 300, lambda: self.join(new_node))
 
     def add_learner(self, node: Node, new_node: Node) -> None:
         add = node.core.add_learner
-        node.handle(lambda: add(new_node.name, new_node.address, node.now()))
+        node.handle(lambda: add(new_node.name, new_node.address, node.now_ms()))
 
     # Checks.
 
@@ -392,7 +398,7 @@
                 )
                 if leader != node.name:
                     raise CheckError(f"two leaders in {node.core.term}")
-            if node.leading and node.core.holds_lease(node.now()):
+            if node.leading and node.core.holds_lease(node.now_ms()):
                 lease_holders.append(node)
         if len(lease_holders) > 1:
             raise CheckError(f"two leases: {[n.name for n in lease_holders]}")
@@ -412,7 +418,9 @@
             node.loading_ms = self.rng.randint(0, 300)
             if node.is_up:
                 node.crash()
-            self.schedule(self.now + self.rng.uniform(300, 900), node.restart)
+            self.schedule(
+                self.now_ms + self.rng.uniform(300, 900), node.restart
+            )
 
 
 def _set_fields(image: Image, **fields: Any) -> None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -55,12 +55,12 @@
             for _ in range(3):
                 node = sim.rng.choice(sim.nodes)
                 sim.lose_disk(node)
-                end = sim.now + 20_000
-                while not sim.is_repaired() and sim.now < end:
-                    sim.run_until(sim.now + 10)
+                end = sim.now_ms + 20_000
+                while not sim.is_repaired() and sim.now_ms < end:
+                    sim.run_until(sim.now_ms + 10)
                 self.assertTrue(sim.is_repaired())
             before = len(sim.committed_entries)
-            sim.run_until(sim.now + 8_000)
+            sim.run_until(sim.now_ms + 8_000)
             self.assertGreater(len(sim.committed_entries), before)
 
 
@@ -204,12 +204,14 @@
         sim.propose()
         sim.run_until(2_000)
         old_leader = next(n for n in sim.nodes if n.leading)
-        old_leader.handle(lambda: old_leader.core.transfer(old_leader.now()))
+        old_leader.handle(lambda: old_leader.core.transfer(old_leader.now_ms()))
         sim.run_until(2_100)
         new_leaders = [n for n in sim.nodes if n.leading]
         self.assertEqual(1, len(new_leaders))
         self.assertIsNot(old_leader, new_leaders[0])
-        self.assertTrue(new_leaders[0].core.holds_lease(new_leaders[0].now()))
+        self.assertTrue(
+            new_leaders[0].core.holds_lease(new_leaders[0].now_ms())
+        )
 
 
 class LeaderlessTest(base.TestCase):
@@ -232,13 +234,13 @@
     def _ms_until_leader(
         self, sim: simulation.Simulation, since_ms: float
     ) -> float:
-        while sim.now < since_ms + 10_000:
-            sim.run_until(sim.now + 5)
+        while sim.now_ms < since_ms + 10_000:
+            sim.run_until(sim.now_ms + 5)
             leading_nodes = [n for n in sim.nodes if n.is_up and n.leading]
-            if sim.now > since_ms and any(
-                n.core.holds_lease(n.now()) for n in leading_nodes
+            if sim.now_ms > since_ms and any(
+                n.core.holds_lease(n.now_ms()) for n in leading_nodes
             ):
-                return sim.now - since_ms
+                return sim.now_ms - since_ms
         raise AssertionError("no leader in 10 s")
 
     def test_leader_that_dies_is_replaced_within_a_second(self) -> None:
@@ -253,7 +255,7 @@
             for seed in self._SEEDS:
                 sim = self._group(seed, size)
                 next(n for n in sim.nodes if n.leading).crash()
-                wait_times_ms.append(self._ms_until_leader(sim, sim.now))
+                wait_times_ms.append(self._ms_until_leader(sim, sim.now_ms))
             self.assertLess(max(wait_times_ms), 1_000)
 
     def test_leader_that_is_back_at_once_leads_again_at_once(self) -> None:
@@ -268,8 +270,8 @@
             sim = self._group(seed, 5)
             leader = next(n for n in sim.nodes if n.leading)
             leader.crash()
-            sim.schedule(sim.now + 200, leader.restart)
-            wait_times_ms.append(self._ms_until_leader(sim, sim.now + 200))
+            sim.schedule(sim.now_ms + 200, leader.restart)
+            wait_times_ms.append(self._ms_until_leader(sim, sim.now_ms + 200))
         self.assertLess(max(wait_times_ms), 330)
 
     def test_former_leader_deposes_no_one(self) -> None:
@@ -281,10 +283,10 @@
             sim = self._group(seed, 5)
             old_leader = next(n for n in sim.nodes if n.leading)
             old_leader.crash()
-            sim.run_until(sim.now + 2_000)
+            sim.run_until(sim.now_ms + 2_000)
             leader = next(n for n in sim.nodes if n.is_up and n.leading)
-            sim.schedule(sim.now, old_leader.restart)
-            sim.run_until(sim.now + 3_000)
+            sim.schedule(sim.now_ms, old_leader.restart)
+            sim.run_until(sim.now_ms + 3_000)
             self.assertTrue(leader.leading)
             self.assertEqual(leader.core.term, old_leader.core.term)
 
@@ -301,7 +303,7 @@
             for node in sim.nodes:
                 node.crash()
             loading_ms = 300
-            start_times_ms = [sim.now + 100 + 80 * n for n in range(5)]
+            start_times_ms = [sim.now_ms + 100 + 80 * n for n in range(5)]
             for node, start_ms in zip(sim.nodes, start_times_ms, strict=True):
                 node.loading_ms = loading_ms
                 sim.schedule(start_ms + loading_ms, node.restart)
--- a/tests/test_founders.py
+++ b/tests/test_founders.py
@@ -192,11 +192,11 @@
 
     def test_halves_found_one_system(self) -> None:
         """Guards against a system on each side of a network partition."""
-        for alone in range(3):
-            sim = Simulation(3, random.Random(alone))
+        for isolated in range(3):
+            sim = Simulation(3, random.Random(isolated))
             for host in sim.seeds.values():
                 host.start(first=True)
-            sim.inject("cut", sim.seeds[f"s{alone}"], 8_000)
+            sim.inject("cut", sim.seeds[f"s{isolated}"], 8_000)
             sim.run(7_500)
             self.assertEqual(2, len(sim.founded_members[0].members))
             sim.run(_MAX_RECOVERY_MS)
@@ -255,8 +255,8 @@
         """Guards against a promise that a power loss erases."""
         founder = self._founder()
         founder.step(self._prepare(), 10)
-        kinds = [type(command) for command in founder.take_output()]
-        self.assertEqual([types.Save, types.Send], kinds)
+        command_types = [type(command) for command in founder.take_output()]
+        self.assertEqual([types.Save, types.Send], command_types)
 
     def test_earlier_attempt_is_refused_with_the_newer_one(self) -> None:
         """Guards against a delayed message that overrides a promise."""
