--- a/catkinpin/core/control/__init__.py
+++ b/catkinpin/core/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control state of raw routes: routes, servers, stores, ledger of turns."""
+"""Control state of raw routes: routes, accounts, servers, stores and turns."""
--- a/catkinpin/core/control/accounts.py
+++ b/catkinpin/core/control/accounts.py
@@ -1,7 +1,7 @@
-"""Client accounts: who sends a request, known by an API key.
+"""Client accounts, which requests are assigned to by API key.
 
-Gateways and the log know a key only by its SHA-256. The routing document that
-operators read back holds the keys themselves and stays with the keepers.
+Gateways and the log have only the SHA-256 digest of a key. The keys themselves
+are in the routing document that operators read back, which only keepers store.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_MAX_PER_S = 1e9
+_MAX_QUOTA_REQUESTS = 1e9
 
 
 class Quota(Message, frozen=True):
-    """Requests that an account may have served, over all gateways.
+    """Limit of an account's requests, over all gateways.
 
     Attributes:
-        rate_per_s: on average; 0 for no limit.
-        burst: beyond the average at once.
+        rate_per_s: average requests per second; 0 for no limit.
+        burst: requests at once beyond the average.
     """
 
     rate_per_s: float = 0.0
@@ -32,7 +32,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether there is a limit."""
+        """Whether the quota limits requests."""
         return self.rate_per_s > 0
 
 
@@ -41,8 +41,8 @@
 
     Attributes:
         key_digests: SHA-256 of each of its API keys.
-        rank: goes before the rank of its requests' routes; 0 is the most
-            urgent, None leaves it to the routes.
+        rank: priority that replaces the rank of the requests' routes; 0 is the
+            most urgent, None keeps the routes' ranks.
     """
 
     name: str
@@ -52,7 +52,7 @@
 
 
 class AccountTable:
-    """Finds the account of a request."""
+    """Finds the account that an API key belongs to."""
 
     def __init__(self, accounts: Iterable[ClientAccount]) -> None:
         self._by_digest = {
@@ -60,17 +60,17 @@
         }
 
     def find(self, key_digest: bytes) -> ClientAccount | None:
-        """Returns the account that holds a key, None where none does."""
+        """Returns the account with a key, None if there is none."""
         return self._by_digest.get(key_digest)
 
 
 def digest_of(key: str) -> bytes:
-    """Returns how an API key is known; empty for no key."""
+    """Returns the SHA-256 digest of an API key; empty for no key."""
     return hashlib.sha256(key.encode()).digest() if key else b""
 
 
 def problems(accounts: Iterable[ClientAccount]) -> list[str]:
-    """Returns everything that is wrong with accounts, empty if nothing."""
+    """Returns all errors in accounts, empty for valid ones."""
     found = []
     holders: dict[bytes, str] = {}
     names: collections.Counter[str] = collections.Counter()
@@ -94,4 +94,6 @@
 
 
 def _is_plausible(*numbers: float) -> bool:
-    return all(math.isfinite(n) and 0 <= n <= _MAX_PER_S for n in numbers)
+    return all(
+        math.isfinite(n) and 0 <= n <= _MAX_QUOTA_REQUESTS for n in numbers
+    )
--- a/catkinpin/core/control/copies.py
+++ b/catkinpin/core/control/copies.py
@@ -1,7 +1,7 @@
-"""Which turns' bytes to copy once a holder is lost or to be emptied.
+"""Plans where the bytes of turns are stored and copied.
 
-All turns of a lost host are planned as one group, so that no single survivor
-has to send, and no single target to take, more than its part.
+All turns of a lost host are planned together, so that the copies are spread
+evenly over the remaining hosts.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
     from catkinpin.core.control.ledger import Turn
     from catkinpin.core.control.protocol import HostInfo
 
-# Bytes of one copy: some 0.3 s of the link between regions.
-_BATCH_BYTES = 512 * 1024
-# Copies planned at once; the next round sees what has changed meanwhile.
+# Size of one batch: about 0.3 s of the bandwidth between regions.
+_MAX_BATCH_BYTES = 512 * 1024
+# Batches planned per round; the next round sees what has changed meanwhile.
 _MAX_BATCHES = 8
 
 
 @dataclasses.dataclass(frozen=True)
 class Holder:
-    """A host that can hold turns' bytes."""
+    """A host that can store the bytes of turns."""
 
     node: str
     address: str
@@ -33,7 +33,7 @@
 
 
 def holder_of(info: HostInfo) -> Holder:
-    """Returns a host that has introduced itself as one that can hold turns."""
+    """Returns the holder that a host's introduction describes."""
     return Holder(info.node, info.address, info.region, info.domain)
 
 
@@ -42,7 +42,9 @@
     """Turns to copy from one host to another.
 
     Attributes:
-        kept: holders that go on counting for these turns.
+        attempts: the turns.
+        counted_holders: current holders of these turns whose copies count.
+        size: total size of the turns in bytes.
     """
 
     attempts: list[str]
@@ -56,26 +58,26 @@
     turns: Iterable[Turn],
     counted: set[str],
     hosts: list[Holder],
-    wanted: int,
+    wanted_copies: int,
 ) -> list[CopyBatch]:
-    """Returns the next copies to make.
+    """Returns the next batches to copy.
 
     Args:
-        turns: all turns that must be kept.
-        counted: identities whose copies count; not those of hosts that lost
-            their disk, are gone, or are to be emptied.
+        turns: all turns that must be retained.
+        counted: identities of the hosts whose copies count, without those that
+            lost their disk, are gone or are to be emptied.
         hosts: hosts that can be reached now.
-        wanted: hosts that shall hold each turn.
+        wanted_copies: number of hosts that each turn should be stored at.
     """
     reachable = {host.node: host for host in hosts}
     targets = [host for host in hosts if host.node in counted]
     batches: dict[tuple[str, ...], CopyBatch] = {}
-    load = dict.fromkeys(reachable, 0)
+    planned_bytes = dict.fromkeys(reachable, 0)
     for turn in turns:
         counted_holders = tuple(
             node for node in turn.holders if node in counted
         )
-        if len(counted_holders) >= wanted:
+        if len(counted_holders) >= wanted_copies:
             continue
         source = next(
             (
@@ -87,8 +89,12 @@
         )
         if source is None:
             continue
-        apart = {reachable[n].domain for n in counted_holders if n in reachable}
-        target = _target(source, counted_holders, apart, targets, load)
+        used_domains = {
+            reachable[n].domain for n in counted_holders if n in reachable
+        }
+        target = _choose_target(
+            source, counted_holders, used_domains, targets, planned_bytes
+        )
         if target is None:
             continue
         key = (source.node, target.node, *counted_holders)
@@ -97,73 +103,75 @@
                 continue
             batches[key] = CopyBatch([], source, target, counted_holders)
         batch = batches[key]
-        if batch.size < _BATCH_BYTES:
+        if batch.size < _MAX_BATCH_BYTES:
             batch.attempts.append(turn.attempt)
             batch.size += turn.size
-            load[target.node] += turn.size
+            planned_bytes[target.node] += turn.size
     return list(batches.values())
 
 
 def rank_hosts(
     hosts: list[Holder],
     region: str,
-    last: str,
-    turn: int,
-    slow: Collection[str] = (),
+    leader_address: str,
+    rotation: int,
+    slow_nodes: Collection[str] = (),
 ) -> list[Holder]:
     """Returns the hosts to store a turn at, the best first.
 
-    Those of one region come first, its failure domains by turns: with all
-    copies in one, the loss of that domain would lose the turn.
+    Hosts in the gateway's region come first, alternating between its failure
+    domains: if all copies were in one domain, its loss would lose the turn.
 
     Args:
-        hosts: that can be reached.
-        region: of the gateway.
-        last: address of the leader, whose disk all others wait for.
-        turn: rises with each turn, so that equals take their part.
-        slow: identities of hosts that were slow lately. A turn's end waits for
-            all its copies, so one that is asked of such a host costs 150 ms.
-            They come last in their region only: under load all hosts of a
-            region seem slow, and then the link to the other one must not
-            carry all copies as well.
+        hosts: hosts that can be reached.
+        region: region of the gateway.
+        leader_address: address of the leader. It is ranked last among equal
+            hosts, because all commits wait for its disk.
+        rotation: increases with each turn, so that equal hosts alternate.
+        slow_nodes: identities of hosts that were slow recently. A turn ends
+            only once all its copies are stored, so a copy at a slow host delays
+            it by 150 ms. Slow hosts are ranked last only within their region:
+            under load all hosts of a region may seem slow, and the link to the
+            other region must not carry all copies then.
     """
-    waiting = [
+    unranked = [
         host
         for _, host in sorted(
             enumerate(hosts),
             key=lambda pair: (
-                pair[1].address == last,
-                (pair[0] + turn) % len(hosts),
+                pair[1].address == leader_address,
+                (pair[0] + rotation) % len(hosts),
             ),
         )
     ]
-    taken: collections.Counter[str] = collections.Counter()
-    ordered = []
-    while waiting:
+    ranked_per_domain: collections.Counter[str] = collections.Counter()
+    ranked = []
+    while unranked:
         best = min(
-            waiting,
+            unranked,
             key=lambda host: (
                 host.region != region,
-                host.node in slow,
-                taken[host.domain],
+                host.node in slow_nodes,
+                ranked_per_domain[host.domain],
             ),
         )
-        waiting.remove(best)
-        taken[best.domain] += 1
-        ordered.append(best)
-    return ordered
+        unranked.remove(best)
+        ranked_per_domain[best.domain] += 1
+        ranked.append(best)
+    return ranked
 
 
-def _target(
+def _choose_target(
     source: Holder,
     counted_holders: tuple[str, ...],
-    apart: set[str],
+    used_domains: set[str],
     targets: list[Holder],
-    load: dict[str, int],
+    planned_bytes: dict[str, int],
 ) -> Holder | None:
-    """Returns the least loaded other host, near the source where possible.
+    """Returns the target for copying a turn from `source`; None for no host.
 
-    Failure domains in `apart` hold a copy already; others are better.
+    Prefers hosts in the source's region, then failure domains without a copy
+    (those with one are in `used_domains`), then hosts that get fewer bytes.
     """
     others = [
         host
@@ -174,8 +182,8 @@
         others,
         key=lambda host: (
             host.region != source.region,
-            host.domain in {source.domain, *apart},
-            load[host.node],
+            host.domain in {source.domain, *used_domains},
+            planned_bytes[host.node],
         ),
         default=None,
     )
--- a/catkinpin/core/control/ledger.py
+++ b/catkinpin/core/control/ledger.py
@@ -1,8 +1,9 @@
-"""Programs' budgets and their trees of turns, as a deterministic state.
+"""Deterministic state of the budgets and the turns of all programs.
 
-A turn continues an earlier one or starts a chain; several may continue the
-same. Time is the log's own: each record carries the leader's, which only
-rises, so that all replicas expire the same turns at the same record.
+A turn continues an earlier turn or starts a new chain; several turns may
+continue the same one, so the turns of a program form trees. Each record carries
+the log's time, which the leader sets and which never decreases. All replicas
+therefore expire the same turns at the same record.
 """
 
 from __future__ import annotations
@@ -15,24 +16,24 @@
 from catkinpin.codec import Message
 from catkinpin.core.placement.urgency import ProgramStatus
 
-# A program's budget outlives its last turn by this much more than its turns:
-# one that was stopped comes back at the last moment, from a slower host.
-_BUDGET_SLACK_MS = 30_000
-# Expired turns are looked for at most so often.
-_SWEEP_EVERY_MS = 1_000
+# A budget is retained for this much longer than the program's last turn: a
+# stopped program may be resumed at the last moment, from a slower host.
+_BUDGET_EXTRA_RETAIN_MS = 30_000
+# Minimum interval between two sweeps for expired turns.
+_SWEEP_INTERVAL_MS = 1_000
 
 
 class Begin(Message, frozen=True):
-    """Reserves a turn's most tokens.
+    """Begins a turn and reserves its maximum number of tokens.
 
     Attributes:
-        attempt: identity of this turn, never used twice.
+        attempt: unique identity of this turn.
         previous: the turn that it continues, empty for a new chain.
         budget: tokens that the whole program may generate; -1 for no limit.
         max_tokens: tokens that this turn may generate.
-        retain_ms: how long the program is remembered after it.
+        retain_ms: how long the program is retained after this turn.
         at_ms: the log's time.
-        left_ms: until the whole program should be finished.
+        left_ms: time left to finish the whole program.
         account: client account that the turn belongs to, empty for none.
     """
 
@@ -48,16 +49,17 @@
 
 
 class Finish(Message, frozen=True):
-    """Settles a turn.
+    """Ends a turn and replaces its reservation by the tokens generated.
 
     Attributes:
-        tokens: handed to the caller; they count whatever came of the turn.
-        is_whole: whether the turn can be continued from now on.
-        holders: identities of the hosts that have its bytes.
+        tokens: tokens that the caller received, charged even if it failed.
+        is_whole: whether the turn is complete and may be continued.
+        holders: identities of the hosts that store its bytes.
         size: length of these bytes.
         at_ms: the log's time.
-        server: that ran it, whose cache holds its prompt; empty for none.
-        lost_ms: what it took longer than on an idle server.
+        server: the server that ran it, whose cache holds its prompt; empty for
+            none.
+        lost_ms: how much longer it took than on an idle server.
     """
 
     attempt: str
@@ -72,14 +74,14 @@
 
 
 class Moved(Message, frozen=True):
-    """Names the hosts that have the bytes of some turns now."""
+    """Replaces the list of hosts that store the bytes of some turns."""
 
     attempts: list[str]
     holders: list[str]
 
 
 class Denial(enum.StrEnum):
-    """Why a turn may not begin."""
+    """Reason why a turn may not begin."""
 
     NONE = ""
     NO_SUCH_TURN = "no-such-turn"
@@ -88,7 +90,7 @@
 
 
 class Link(Message, frozen=True):
-    """One turn of a chain, and who has its bytes."""
+    """One turn of a chain, and the hosts that store its bytes."""
 
     attempt: str
     holders: list[str]
@@ -99,8 +101,8 @@
     """A finished turn.
 
     Attributes:
-        until_ms: when it may be forgotten, by the log's time.
-        account: client account that may continue it.
+        until_ms: when it expires, by the log's time.
+        account: client account that may continue it; empty for any.
     """
 
     attempt: str
@@ -113,7 +115,7 @@
 
 
 class Open(Message, frozen=True):
-    """A turn that has begun and is not settled."""
+    """A turn that has begun and not finished."""
 
     attempt: str
     program: str
@@ -125,17 +127,17 @@
 
 
 class ProgramBudget(msgspec.Struct, kw_only=True):
-    """What a program has spent.
+    """Tokens and time that a program has used.
 
     Attributes:
-        spent: tokens of its settled turns.
+        spent: tokens of its finished turns.
         reserved: tokens that its open turns may still generate.
-        until_ms: when it may be forgotten, by the log's time.
-        allowed_ms: what it had at its start to be finished in.
-        begun_ms: its start, by the log's time.
-        server: that ran its latest turn.
-        lost_ms: what its turns took longer than on idle servers.
-        turns: settled so far that generated anything.
+        until_ms: when the budget expires, by the log's time.
+        allowed_ms: the longest time that any of its turns gave it to finish.
+        begun_ms: start of the program, by the log's time.
+        server: the server that ran its latest turn.
+        lost_ms: how much longer its turns took than on idle servers.
+        turns: number of finished turns that generated tokens.
         account: client account that the program belongs to.
     """
 
@@ -163,14 +165,14 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What a record brought about.
+    """Result of applying a record.
 
     Attributes:
-        denial: why a turn may not begin.
-        chain: the turns before it, the oldest first.
-        expired: turns whose bytes are needed no more.
-        program_status: how the program is doing.
-        server: that ran its latest turn.
+        denial: why the turn may not begin.
+        chain: the turns before it, oldest first.
+        expired: turns that expired, whose bytes may be deleted.
+        program_status: elapsed and lost time of the program.
+        server: the server that ran the program's latest turn.
     """
 
     denial: Denial = Denial.NONE
@@ -183,23 +185,23 @@
 
 
 class Ledger:
-    """Budgets and turns of all programs.
+    """Tracks budgets and turns of all programs.
 
     Attributes:
-        turns: finished turns, by attempt.
+        turns: finished turns that may be continued, by attempt.
         now_ms: the log's time.
     """
 
     def __init__(self) -> None:
         self.turns: dict[str, Turn] = {}
         self.now_ms = 0
-        self._open: dict[str, Open] = {}
-        # By account and program: accounts choose ids of their own.
+        self._open_turns: dict[str, Open] = {}
+        # By account and program: two accounts may choose the same program id.
         self._budgets: dict[tuple[str, str], ProgramBudget] = {}
-        self._swept_ms = 0
+        self._last_sweep_ms = 0
 
     def begin(self, record: Begin) -> Outcome:
-        """Reserves for a turn, or says why not; a resend changes nothing."""
+        """Begins a turn or denies it; a resent record changes nothing."""
         out = self._advance(record.at_ms)
         chain = self.chain(record.previous, record.account)
         if chain is None:
@@ -223,13 +225,13 @@
         out.server = budget.server
         if self.knows_turn(record.attempt):
             return out
-        if not _affords(budget, record):
+        if not _has_budget_left(budget, record):
             out.denial = Denial.BUDGET_SPENT
             return out
         self._budgets[(budget.account, budget.program)] = budget
         budget.reserved += record.max_tokens
-        self._keep(budget, record.retain_ms)
-        self._open[record.attempt] = Open(
+        self._extend_retention(budget, record.retain_ms)
+        self._open_turns[record.attempt] = Open(
             attempt=record.attempt,
             program=record.program,
             previous=record.previous,
@@ -241,44 +243,47 @@
         return out
 
     def finish(self, record: Finish) -> Outcome:
-        """Settles a turn; a resend changes nothing."""
+        """Finishes a turn; a resent record changes nothing."""
         out = self._advance(record.at_ms)
-        begun = self._open.pop(record.attempt, None)
-        if begun is None:
+        open_turn = self._open_turns.pop(record.attempt, None)
+        if open_turn is None:
             return out
-        budget = self._budget_of(begun.account, begun.program)
+        budget = self._budget_of(open_turn.account, open_turn.program)
         if budget is not None:
-            budget.reserved -= begun.max_tokens
+            budget.reserved -= open_turn.max_tokens
             budget.spent += record.tokens
             budget.lost_ms += record.lost_ms
             budget.turns += record.tokens > 0
             budget.server = record.server or budget.server
-            self._keep(budget, begun.retain_ms)
+            self._extend_retention(budget, open_turn.retain_ms)
         if record.is_whole:
-            self._store(begun, record)
+            self._add_turn(open_turn, record)
         return out
 
-    def moved(self, record: Moved) -> None:
-        """Notes other holders of turns' bytes."""
+    def set_holders(self, record: Moved) -> None:
+        """Replaces the holders of turns' bytes."""
         for attempt in record.attempts:
             turn = self.turns.get(attempt)
             if turn is not None:
                 turn.holders = list(record.holders)
 
     def turn_count(self, account: str, program: str) -> int:
-        """Returns how many turns a program has had; 0 for a new one."""
+        """Returns how many turns a program has had; 0 for a new program.
+
+        A program without a finished turn that generated tokens counts one.
+        """
         budget = self._budget_of(account, program)
         return 0 if budget is None else max(1, budget.turns)
 
     def knows_turn(self, attempt: str) -> bool:
-        """Returns whether a turn has begun."""
-        return attempt in self._open or attempt in self.turns
+        """Returns whether a turn is open or may be continued."""
+        return attempt in self._open_turns or attempt in self.turns
 
     def chain(self, attempt: str, account: str = "") -> list[Link] | None:
-        """Returns the turns up to `attempt`, oldest first.
+        """Returns the chain that ends with `attempt`, oldest turn first.
 
         Returns:
-            None where the account has no such turn.
+            None where a turn is unknown or belongs to another account.
         """
         links: list[Link] = []
         while attempt:
@@ -293,91 +298,97 @@
         return links
 
     def state(self) -> LedgerState:
-        """Returns all that a snapshot needs."""
+        """Returns the whole state, for a snapshot."""
         return LedgerState(
             turns=list(self.turns.values()),
-            open=list(self._open.values()),
+            open=list(self._open_turns.values()),
             budgets=list(self._budgets.values()),
             now_ms=self.now_ms,
-            swept_ms=self._swept_ms,
+            swept_ms=self._last_sweep_ms,
         )
 
     def restore(self, state: LedgerState) -> None:
-        """Replaces everything by the content of a snapshot."""
+        """Replaces the whole state by a snapshot's."""
         self.turns = {turn.attempt: turn for turn in state.turns}
-        self._open = {begun.attempt: begun for begun in state.open}
+        self._open_turns = {
+            open_turn.attempt: open_turn for open_turn in state.open
+        }
         self._budgets = {(b.account, b.program): b for b in state.budgets}
         self.now_ms = state.now_ms
-        self._swept_ms = state.swept_ms
+        self._last_sweep_ms = state.swept_ms
 
     def _budget_of(self, account: str, program: str) -> ProgramBudget | None:
-        """Returns what a program has spent; None for a new one.
+        """Returns a program's budget; None for a new program.
 
-        A program that began before there were accounts belongs to none.
+        A program that began before accounts were in force has no account.
         """
-        own = self._budgets.get((account, program))
-        return own or self._budgets.get(("", program))
-
-    def _store(self, begun: Open, record: Finish) -> None:
-        until_ms = self.now_ms + begun.retain_ms
-        self.turns[begun.attempt] = Turn(
-            attempt=begun.attempt,
-            program=begun.program,
-            previous=begun.previous,
+        account_budget = self._budgets.get((account, program))
+        return account_budget or self._budgets.get(("", program))
+
+    def _add_turn(self, open_turn: Open, record: Finish) -> None:
+        """Adds a finished turn, and retains its whole chain as long."""
+        until_ms = self.now_ms + open_turn.retain_ms
+        self.turns[open_turn.attempt] = Turn(
+            attempt=open_turn.attempt,
+            program=open_turn.program,
+            previous=open_turn.previous,
             holders=list(record.holders),
             size=record.size,
             until_ms=until_ms,
-            account=begun.account,
+            account=open_turn.account,
         )
-        # A turn is kept together with its chain.
-        previous = begun.previous
+        previous = open_turn.previous
         while previous in self.turns:
             turn = self.turns[previous]
             turn.until_ms = max(turn.until_ms, until_ms)
             previous = turn.previous
 
-    def _keep(self, budget: ProgramBudget, retain_ms: int) -> None:
-        until_ms = self.now_ms + retain_ms + _BUDGET_SLACK_MS
+    def _extend_retention(self, budget: ProgramBudget, retain_ms: int) -> None:
+        until_ms = self.now_ms + retain_ms + _BUDGET_EXTRA_RETAIN_MS
         budget.until_ms = max(budget.until_ms, until_ms)
 
     def _advance(self, at_ms: int) -> Outcome:
+        """Advances the log's time, and sweeps when a sweep is due."""
         self.now_ms = max(self.now_ms, at_ms)
         out = Outcome()
-        if self.now_ms - self._swept_ms >= _SWEEP_EVERY_MS:
-            self._swept_ms = self.now_ms
+        if self.now_ms - self._last_sweep_ms >= _SWEEP_INTERVAL_MS:
+            self._last_sweep_ms = self.now_ms
             out.expired = self._sweep()
         return out
 
     def _sweep(self) -> list[str]:
+        """Removes what has expired; returns the turns among it."""
         now_ms = self.now_ms
-        needed = {begun.previous for begun in self._open.values()}
+        continued = {
+            open_turn.previous for open_turn in self._open_turns.values()
+        }
         expired = [
             turn.attempt
             for turn in self.turns.values()
-            if turn.until_ms < now_ms and turn.attempt not in needed
+            if turn.until_ms < now_ms and turn.attempt not in continued
         ]
         for attempt in expired:
             del self.turns[attempt]
-        # A front that died never settles: its turn holds its reserve until
-        # the program itself is forgotten.
-        gone = [
+        # A gateway that crashed never finishes its turns: their reservations
+        # last until the program's budget expires.
+        expired_budgets = [
             key
             for key, budget in self._budgets.items()
             if budget.until_ms < now_ms
         ]
-        for key in gone:
+        for key in expired_budgets:
             del self._budgets[key]
-        lost = [
-            begun.attempt
-            for begun in self._open.values()
-            if self._budget_of(begun.account, begun.program) is None
+        orphaned = [
+            open_turn.attempt
+            for open_turn in self._open_turns.values()
+            if self._budget_of(open_turn.account, open_turn.program) is None
         ]
-        for attempt in lost:
-            del self._open[attempt]
+        for attempt in orphaned:
+            del self._open_turns[attempt]
         return expired
 
 
-def _affords(budget: ProgramBudget, record: Begin) -> bool:
+def _has_budget_left(budget: ProgramBudget, record: Begin) -> bool:
     if record.budget < 0:
         return True
     return budget.spent + budget.reserved < record.budget
--- a/catkinpin/core/control/protocol.py
+++ b/catkinpin/core/control/protocol.py
@@ -1,8 +1,8 @@
 """Messages between gateways, keepers and stores.
 
-A gateway serves callers and asks the keeper that leads the control group;
-keepers publish what has changed. `ask` is the number that correlates a
-request and its reply.
+Gateways serve callers and send requests to the keeper that leads the control
+group. Keepers publish changes to gateways. The field `ask` is a number that
+assigns a reply to its request.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class HostInfo(Message, frozen=True):
-    """A keeper or a store introduces itself.
+    """Introduces a keeper or a store.
 
     Attributes:
         node: its identity, new for each new data folder.
         address: peer address.
         known: peer addresses of all keepers and stores that it knows.
-        retiring: identities of stores that take nothing new.
-        gateways: how many gateways are connected to it.
+        retiring: identities of stores that are being emptied.
+        gateways: number of gateways connected to it.
         leader: peer address of the group's leader, empty if not known.
         term: the term of that leader.
     """
@@ -43,28 +43,28 @@
 
 
 class GroupSeen(Message, frozen=True):
-    """Tells a keeper without a leader that there was one.
+    """Tells a keeper that knows no leader that the group has had one.
 
     Attributes:
-        term: the newest term that the sender knows a leader of.
+        term: the latest term that the sender knows a leader of.
     """
 
     term: int
 
 
 class Expired(Message, frozen=True):
-    """Names turns whose bytes are needed no more."""
+    """Lists turns that expired, whose bytes may be deleted."""
 
     attempts: list[str]
 
 
 class RoutingUpdate(Message, frozen=True):
-    """Says which routing document is in force, to all gateways.
+    """Tells all gateways which routing document is in force.
 
     Attributes:
-        version: -1 for none.
-        is_current: whether the keeper knows that there is no newer one that
-            was acknowledged.
+        version: version of the document, -1 for none.
+        is_current: whether the keeper knows that no newer version was
+            acknowledged.
     """
 
     version: int
@@ -72,10 +72,10 @@
 
 
 class AllServers(Message, frozen=True):
-    """All servers.
+    """Lists all servers.
 
     Attributes:
-        index: the log index that this is as of.
+        index: log index of the state.
         packed: the servers, see `servers.pack`.
     """
 
@@ -84,11 +84,11 @@
 
 
 class ServersUpdate(Message, frozen=True):
-    """Servers that changed, or all.
+    """Lists the servers that changed, or all servers.
 
     Attributes:
-        index: the log index that this is as of.
-        whole: whether there are no others.
+        index: log index of the state.
+        whole: whether the list contains all servers.
     """
 
     index: int
@@ -100,7 +100,8 @@
     """Asks the leader whether a turn may begin.
 
     Attributes:
-        place: asks for a server besides; None: the gateway needs none.
+        place: asks the leader to select a server as well; None if the gateway
+            needs none.
     """
 
     ask: int
@@ -109,7 +110,11 @@
 
 
 class AskFinish(Message, frozen=True):
-    """Asks the leader to settle a turn."""
+    """Asks the leader to finish a turn.
+
+    Attributes:
+        report: observations of the gateway about servers, for placement.
+    """
 
     ask: int
     finish: Finish
@@ -117,11 +122,11 @@
 
 
 class ReportUse(Message, frozen=True):
-    """Tells the leader about the plain requests of a gateway.
+    """Reports the plain requests of a gateway to the leader.
 
     Attributes:
-        uses: what was passed on since the last report.
-        unresponsive: servers that have an overdue call.
+        uses: requests forwarded since the last report, by account.
+        unresponsive: servers with an overdue call.
     """
 
     ask: int
@@ -130,12 +135,13 @@
 
 
 class QuotaUpdate(Message, frozen=True):
-    """Answers `ReportUse`; durations are in ms from now.
+    """Answers `ReportUse`.
 
     Attributes:
-        over: accounts at the limit of their window, and until when.
-        spent: accounts with nothing left for requests of no program, and
-            until when.
+        over: accounts with a full window, and for how many ms their plain
+            requests are refused.
+        spent: accounts without credit, and for how many ms their plain requests
+            outside of programs are refused.
     """
 
     ask: int
@@ -144,7 +150,7 @@
 
 
 class UnresponsiveUpdate(Message, frozen=True):
-    """Names plain servers that several gateways have seen unresponsive."""
+    """Lists plain servers that several gateways found unresponsive."""
 
     servers: list[str]
 
@@ -160,8 +166,8 @@
     """Asks for the routing document in force.
 
     Attributes:
-        from_leader: whether only the leader may answer, which knows that
-            there is no newer one.
+        from_leader: whether only the leader may answer. It knows that there is
+            no newer document.
     """
 
     ask: int
@@ -169,7 +175,7 @@
 
 
 class AskAnnounce(Message, frozen=True):
-    """Hands a server's announcement to the leader."""
+    """Forwards a server's announcement to the leader."""
 
     ask: int
     instance: Instance
@@ -179,7 +185,7 @@
     """Tells the leader that a server crashed while it ran a request.
 
     Attributes:
-        content: the request's digest, in hex.
+        content: digest of the request's content, in hex.
         server: identity of the server's incarnation.
     """
 
@@ -189,23 +195,28 @@
 
 
 class QuarantineUpdate(Message, frozen=True):
-    """Names contents that no server may get any more."""
+    """Lists contents that are quarantined: no server may get them.
+
+    Attributes:
+        contents: digests of the contents, in hex.
+    """
 
     contents: list[str]
 
 
 class AskRegister(Message, frozen=True):
-    """A store asks the leader to count it."""
+    """Asks the leader to register the sending store."""
 
     ask: int
     store: Store
 
 
 class AskRetire(Message, frozen=True):
-    """Asks the leader to have a store emptied, or how far that is.
+    """Asks the leader to empty a store, or how far it has been emptied.
 
     Attributes:
-        begin: whether to begin; False only asks.
+        name: name of the store's host.
+        begin: whether to begin emptying it; False only queries the progress.
     """
 
     ask: int
@@ -217,9 +228,9 @@
     """Answers `AskRetire`.
 
     Attributes:
-        is_known: whether there is such a store.
-        too_few: whether too few would be left.
-        is_empty: whether it can be taken away.
+        is_known: whether there is a store with the name.
+        too_few: whether too few stores would remain without it.
+        is_empty: whether it can be removed, as no turn depends on it any more.
     """
 
     ask: int
@@ -229,7 +240,7 @@
 
 
 class Put(Message, frozen=True):
-    """Asks a keeper to store a turn's bytes."""
+    """Asks a keeper or a store to store a turn's bytes."""
 
     ask: int
     attempt: str
@@ -237,17 +248,17 @@
 
 
 class Get(Message, frozen=True):
-    """Asks a keeper for turns' bytes."""
+    """Asks a keeper or a store for turns' bytes."""
 
     ask: int
     attempts: list[str]
 
 
 class CopyTurns(Message, frozen=True):
-    """Asks a keeper to copy turns' bytes from another one.
+    """Asks a keeper or a store to copy turns' bytes from another one.
 
     Attributes:
-        source: peer address of a keeper that has them.
+        source: peer address of the host to copy from.
     """
 
     ask: int
@@ -259,11 +270,13 @@
     """Answers `AskBegin`.
 
     Attributes:
-        denial: as in `ledger.Denial`; empty where the turn may begin.
-        program_status: how the program is doing.
-        server: that ran its latest turn.
-        placed: the server that the leader names for this turn, empty for none.
-        retry_ms: when there is room, where its account's quota is used up.
+        denial: value of `ledger.Denial`; empty where the turn may begin.
+        chain: the turns before it, oldest first.
+        retry_ms: in how many ms to retry, where the account's quota is used up.
+        program_status: elapsed and lost time of the program.
+        server: the server that ran the program's latest turn.
+        placed: the server that the leader selected for this turn, empty for
+            none.
     """
 
     ask: int
@@ -276,17 +289,17 @@
 
 
 class Done(Message, frozen=True):
-    """Says that what was asked is done and lasts."""
+    """Confirms that a request has been carried out durably."""
 
     ask: int
 
 
 class Refused(Message, frozen=True):
-    """Says that what was asked was not done here.
+    """Rejects a request that the receiver did not carry out.
 
     Attributes:
-        reason: for the log.
-        leader: whom to ask instead, empty if not known.
+        reason: reason for the log.
+        leader: peer address of the leader to ask instead, empty if not known.
     """
 
     ask: int
@@ -305,7 +318,7 @@
     """Answers `Get`.
 
     Attributes:
-        parts: bytes of each turn asked for; None where they aren't here.
+        parts: bytes of each requested turn; None for a turn not stored here.
     """
 
     ask: int
--- a/catkinpin/core/control/routes.py
+++ b/catkinpin/core/control/routes.py
@@ -1,7 +1,7 @@
-"""Routes: which requests go to which service, and under which limits.
+"""Routing documents: which requests go to which service, within which limits.
 
-A routing document replaces the one before it as a whole. Its version only
-rises; the highest one is in force.
+A routing document replaces the previous one as a whole. The document with the
+highest version is in force.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 if TYPE_CHECKING:
     import random
 
-# Fast; the names in a document repeat so often that more effort gains little.
-_COMPRESSION = 3
+# A fast level: names repeat so often that a higher one gains little.
+_COMPRESSION_LEVEL = 3
 
 
 class RouteKind(enum.StrEnum):
-    """What a route's requests are, and so what may be repeated."""
+    """Kind of a route's requests; decides which of them may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -33,10 +33,10 @@
 
 
 class Share(Message, frozen=True):
-    """A part of a route's requests.
+    """Share of a route's requests that goes to one service.
 
     Attributes:
-        weight: relative to the other shares of the route.
+        weight: size of the share, relative to the route's other shares.
     """
 
     service: str
@@ -44,18 +44,19 @@
 
 
 class Route(Message, frozen=True):
-    """Where the requests under one host and path prefix go.
+    """Configures the requests under one host and path prefix.
 
     Attributes:
-        timeout_ms: longest time that a request is kept waiting.
-        target_ms: latency within which an answer is worth most.
-        rank: 0 is the most urgent.
-        max_attempts: servers to which one request may be sent.
-        keeps_history: whether requests name an earlier turn and bring only
-            what is new.
+        timeout_ms: longest time that a request may wait.
+        target_ms: latency target of an answer.
+        rank: priority; 0 is the most urgent.
+        max_attempts: number of servers that one request may be sent to.
+        keeps_history: whether requests refer to an earlier turn and contain
+            only what is new.
         retain_ms: how long a turn can be continued after its end.
-        affine: whether a server that had the same session does better.
-        resumable: whether a stream may go on at another server.
+        affine: whether requests of a session are better sent to the same
+            server.
+        resumable: whether another server may resume a stream.
         is_open: whether requests need no API key.
     """
 
@@ -76,11 +77,11 @@
 
 
 class Engine(Message, frozen=True):
-    """What is known of the model servers of a service.
+    """Properties of the model servers of a service.
 
     Attributes:
-        slots: requests that one runs at once.
-        memory_tokens: tokens that its cache holds.
+        slots: requests that one server runs at once.
+        memory_tokens: capacity of its cache in tokens.
         event_tokens: tokens in one event of a stream.
     """
 
@@ -94,8 +95,8 @@
 
     Attributes:
         health_path: path that answers 200 on a healthy server.
-        max_connections: connections that one server takes from all callers.
-        engine: None for a plain service.
+        max_connections: connections that one server accepts from all callers.
+        engine: properties of model servers; None for a plain service.
     """
 
     name: str
@@ -105,7 +106,7 @@
 
 
 class CallerLimits(Message, frozen=True):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size and the duration of callers' requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -114,12 +115,13 @@
 
 
 class Routing(Message, frozen=True):
-    """A whole routing document.
+    """A routing document.
 
     Attributes:
-        accounts: who may send requests; None where no key is asked for.
-        source: the document as it was sent, for those who read it back; it
-            holds API keys, so it stays with the keepers.
+        accounts: accounts that may send requests; None where no API key is
+            required.
+        source: the document as the operator sent it, to be read back. It
+            contains API keys, so keepers don't send it to gateways.
     """
 
     version: int
@@ -131,18 +133,19 @@
 
 
 class PackedRouting(Message, frozen=True):
-    """A routing document as it is stored and sent.
+    """A routing document, compressed for storing and sending.
 
-    A document of thousands of routes takes a megabyte. Sent as it is by each
-    keeper to each gateway it fills the link between regions for seconds: the
-    heartbeats wait behind it, and leaders lose their lease.
+    A document with thousands of routes has a megabyte. If each keeper sent it
+    uncompressed to each gateway, it would fill the link between regions for
+    seconds: heartbeats would be delayed, and leaders would lose their lease.
 
     Each part is encoded and compressed, to a tenth of its size.
 
     Attributes:
         data: the document without the other parts.
-        accounts: the accounts; empty where no key is asked for.
-        source: the document as it was sent; empty where gateways get it.
+        accounts: the accounts; empty where no API key is required.
+        source: the document as the operator sent it; empty in what gateways
+            get.
     """
 
     version: int
@@ -152,7 +155,7 @@
 
 
 def pack(routing: Routing) -> PackedRouting:
-    """Returns a document for storing and sending."""
+    """Compresses a document for storing and sending."""
     rest = structs.replace(routing, accounts=None, source=b"")
     packed = b""
     if routing.accounts is not None:
@@ -166,8 +169,8 @@
 
 
 def unpack(packed: PackedRouting) -> Routing:
-    """Returns a packed document, as far as it was sent."""
-    found: Routing = _decoder.decode(zlib.decompress(packed.data))
+    """Decompresses a document; an omitted source stays empty."""
+    found: Routing = _routing_decoder.decode(zlib.decompress(packed.data))
     source = zlib.decompress(packed.source) if packed.source else b""
     return structs.replace(
         found, accounts=unpack_accounts(packed), source=source
@@ -185,19 +188,22 @@
 
 
 def strip_source(packed: PackedRouting) -> PackedRouting:
-    """Returns a document without the API keys themselves."""
+    """Returns a document for gateways, without the source and its API keys."""
     return structs.replace(packed, source=b"")
 
 
 def _compress(data: bytes) -> bytes:
-    return zlib.compress(data, _COMPRESSION)
+    return zlib.compress(data, _COMPRESSION_LEVEL)
 
 
 class RouteTable:
     """Finds the route of a request.
 
     Attributes:
-        accounts: finds its account; None where no key is asked for.
+        routing: the routing document.
+        accounts: finds the account of a request; None where no API key is
+            required.
+        services: services by name.
     """
 
     def __init__(self, routing: Routing) -> None:
@@ -213,7 +219,7 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix, None where none fits."""
+        """Returns the route with the longest matching prefix, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -221,29 +227,29 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Returns a service of the route, drawn by weight."""
+    """Returns a service of the route, chosen at random by weight."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
     return rng.choices(route.shares, weights)[0].service
 
 
-_decoder = codec.decoder(Routing)
+_routing_decoder = codec.decoder(Routing)
 _accounts_decoder = codec.decoder(list[ClientAccount])
 
 
 def problems(routing: Routing) -> list[str]:
-    """Returns everything that makes a document invalid, empty if nothing."""
+    """Returns all errors in a document, empty for a valid one."""
     found = []
     services = {service.name for service in routing.services}
-    places: set[tuple[str, str]] = set()
+    host_prefixes: set[tuple[str, str]] = set()
     for route in routing.routes:
         unknown = [s.service for s in route.shares if s.service not in services]
         found += [f"route {route.name}: no service {name}" for name in unknown]
-        place = (route.host, route.prefix)
-        if place in places:
-            found.append(f"route {route.name}: {place} is taken")
-        places.add(place)
+        host_prefix = (route.host, route.prefix)
+        if host_prefix in host_prefixes:
+            found.append(f"route {route.name}: {host_prefix} is taken")
+        host_prefixes.add(host_prefix)
         if sum(share.weight for share in route.shares) <= 0:
             found.append(f"route {route.name}: the weights add up to 0")
         if any(share.weight < 0 for share in route.shares):
--- a/catkinpin/core/control/servers.py
+++ b/catkinpin/core/control/servers.py
@@ -1,7 +1,7 @@
-"""Which backend servers there are, from what they announce of themselves.
+"""The known backend servers, as their announcements describe them.
 
-Facts that must outlive a leader (a server leaves, is gone, or stands at an
-address) go through the log; a repeated announcement does not.
+Changes that must outlast a leader (a server drains or ends, or has an address)
+go through the log; an announcement that repeats what is known does not.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
 
-# Servers that are gone and could still be named by a late announcement. A day
-# of ordinary replacements is some hundreds.
-_MAX_GONE = 4_096
-# The fastest level: names and addresses repeat so often that more effort
-# gains little.
-_COMPRESSION = 1
+# Removed servers that are remembered, in case a late announcement names one. On
+# an ordinary day, some hundreds are replaced.
+_MAX_REMOVED = 4_096
+# The fastest level: names and addresses repeat so often that a higher one gains
+# little.
+_COMPRESSION_LEVEL = 1
 
 
 class ServerState(enum.StrEnum):
-    """What a server says of itself, or what became of it.
+    """State of a server, as announced or as found by the leader.
 
-    LOST is one that was silent for long; it may only have been cut off, so
-    unlike one that announced its end it counts again with its next message.
+    A GONE server announced its end. A LOST server sent nothing for long. It may
+    only have been disconnected, so its next announcement adds it again.
     """
 
     READY = "ready"
@@ -38,7 +38,7 @@
 
     @property
     def is_offline(self) -> bool:
-        """Whether such a server gets no requests any more."""
+        """Whether a server in this state gets no requests."""
         return self in (ServerState.GONE, ServerState.LOST)
 
 
@@ -46,9 +46,9 @@
     """One incarnation of a backend server.
 
     Attributes:
-        started_ms: Unix time of its start; tells two incarnations of an id
-            apart.
-        sequence: rises with each announcement of an incarnation.
+        started_ms: Unix time of its start; distinguishes the incarnations of
+            an id.
+        sequence: number of the announcement, increasing within an incarnation.
         slots: requests that it runs at once.
     """
 
@@ -63,34 +63,40 @@
 
 
 def pack(instances: Iterable[Instance]) -> bytes:
-    """Returns instances as they are sent to many gateways."""
-    return zlib.compress(codec.encode(list(instances)), _COMPRESSION)
+    """Compresses instances for sending them to many gateways."""
+    return zlib.compress(codec.encode(list(instances)), _COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> list[Instance]:
-    """Returns packed instances."""
-    found: list[Instance] = _instances.decode(zlib.decompress(data))
+    """Decompresses instances."""
+    found: list[Instance] = _instances_decoder.decode(zlib.decompress(data))
     return found
 
 
-_instances = codec.decoder(list[Instance])
+_instances_decoder = codec.decoder(list[Instance])
 
 
 class Fleet:
-    """All servers that are known, and those that are gone."""
+    """Tracks the known servers and those removed recently.
+
+    Attributes:
+        servers: servers that are ready or draining, by id.
+    """
 
     def __init__(self) -> None:
         self.servers: dict[str, Instance] = {}
-        self._gone: dict[str, Instance] = {}
-        # What else a server is looked up by: thousands announce themselves
-        # at once, and each request asks for those of its service.
+        self._removed: dict[str, Instance] = {}
+        # Indexes, because thousands of servers may announce themselves at once
+        # and each request looks up the servers of its service.
         self._by_service: dict[str, dict[str, Instance]] = {}
         self._by_address: dict[str, str] = {}
 
     def would_change(self, announced: Instance) -> bool:
-        """Returns whether an announcement changes what must be kept."""
-        known = self.servers.get(announced.id) or self._gone.get(announced.id)
-        if known is not None and _age(announced) <= _age(known):
+        """Returns whether an announcement must go through the log."""
+        known = self.servers.get(announced.id) or self._removed.get(
+            announced.id
+        )
+        if known is not None and _recency(announced) <= _recency(known):
             return False
         if announced.state.is_offline:
             return announced.id in self.servers
@@ -101,14 +107,14 @@
     def with_known_incarnation(
         self, announced: Instance, last_sequence: int
     ) -> Instance:
-        """Returns a server's farewell as one of its known incarnation.
+        """Completes a server's last announcement from its known incarnation.
 
-        A farewell may come without start time and sequence number. Taken as it
-        is, it would look older than all that is known, and change nothing.
+        The announcement of an end may lack start time and sequence number.
+        Without them, it would look older than the known state and be ignored.
 
         Args:
-            announced: what it said.
-            last_sequence: the newest number received from it.
+            announced: the announcement.
+            last_sequence: the highest sequence number received from the server.
         """
         known = self.servers.get(announced.id)
         if known is None or announced.started_ms:
@@ -117,38 +123,38 @@
         return _with_state(known, announced.state, known.started_ms, newest + 1)
 
     def apply(self, announced: Instance) -> list[Instance]:
-        """Takes an announcement; returns what changed, in order."""
+        """Applies an announcement; returns the changed servers, in order."""
         if not self.would_change(announced):
             return []
         if announced.state.is_offline:
             return [self._remove(announced)]
         changed = []
-        other = self.servers.get(self._by_address.get(announced.address, ""))
-        if other is not None and other.id != announced.id:
-            # One address serves one process: the younger one has it. A late
-            # announcement of the older one would send it requests of another
-            # service.
-            if other.started_ms > announced.started_ms:
+        occupant = self.servers.get(self._by_address.get(announced.address, ""))
+        if occupant is not None and occupant.id != announced.id:
+            # An address belongs to one process, the one that started last. If a
+            # late announcement gave it back to the older one, requests of one
+            # service could reach a server of another.
+            if occupant.started_ms > announced.started_ms:
                 return []
-            gone = _with_state(other, ServerState.GONE)
-            changed.append(self._remove(gone))
-        self._gone.pop(announced.id, None)
+            removed = _with_state(occupant, ServerState.GONE)
+            changed.append(self._remove(removed))
+        self._removed.pop(announced.id, None)
         self._put(announced)
         return [*changed, announced]
 
     def state(self) -> list[Instance]:
-        """Returns all that a snapshot needs."""
-        return [*self.servers.values(), *self._gone.values()]
+        """Returns the whole state, for a snapshot."""
+        return [*self.servers.values(), *self._removed.values()]
 
     def restore(self, instances: list[Instance]) -> None:
-        """Replaces everything by the content of a snapshot."""
+        """Replaces the whole state by a snapshot's."""
         self.servers = {}
-        self._gone = {}
+        self._removed = {}
         self._by_service = {}
         self._by_address = {}
         for instance in instances:
             if instance.state.is_offline:
-                self._gone[instance.id] = instance
+                self._removed[instance.id] = instance
             else:
                 self._put(instance)
 
@@ -157,7 +163,7 @@
         return self._by_service.get(service, {}).values()
 
     def drop(self, server: str) -> Instance | None:
-        """Takes a server off without a trace; returns what was known."""
+        """Drops a server without remembering it; returns its last state."""
         known = self.servers.pop(server, None)
         if known is not None:
             del self._by_service[known.service][server]
@@ -173,20 +179,21 @@
         self._by_address[instance.address] = instance.id
 
     def _remove(self, announced: Instance) -> Instance:
+        """Drops a server, and remembers it as removed."""
         known = self.drop(announced.id) or announced
-        gone = _with_state(
+        removed = _with_state(
             known,
             announced.state,
             max(known.started_ms, announced.started_ms),
             max(known.sequence, announced.sequence),
         )
-        self._gone[announced.id] = gone
-        while len(self._gone) > _MAX_GONE:
-            del self._gone[next(iter(self._gone))]
-        return gone
+        self._removed[announced.id] = removed
+        while len(self._removed) > _MAX_REMOVED:
+            del self._removed[next(iter(self._removed))]
+        return removed
 
 
-def _age(instance: Instance) -> tuple[int, int]:
+def _recency(instance: Instance) -> tuple[int, int]:
     return instance.started_ms, instance.sequence
 
 
--- a/catkinpin/core/control/state.py
+++ b/catkinpin/core/control/state.py
@@ -1,7 +1,7 @@
 """The state machine of the control group, and the records of its log.
 
-A keeper is a replica of the control group: it holds the routes, the servers
-and the programs' ledger.
+A keeper is a replica of the control group. It stores the routes, the servers,
+the stores, and the ledger of programs and turns.
 """
 
 from __future__ import annotations
@@ -26,34 +26,40 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Contents that stay quarantined, 32 bytes each.
+# Number of digests that stay quarantined, 32 bytes each.
 _MAX_QUARANTINED = 4_096
 
 
 class SetRouting(Message, frozen=True):
-    """Puts a routing document in force where its version is higher."""
+    """Puts a routing document in force if its version is higher."""
 
     routing: PackedRouting
 
 
 class Announce(Message, frozen=True):
-    """Takes what a server says of itself."""
+    """Applies a server's announcement."""
 
     instance: Instance
 
 
 class Quarantine(Message, frozen=True):
-    """Quarantines requests' contents, by digest in hex."""
+    """Quarantines contents of requests.
+
+    Attributes:
+        contents: digests of the contents, in hex.
+    """
 
     contents: list[str]
 
 
 class CountUse(Message, frozen=True):
-    """Adds plain requests to what client accounts have used.
+    """Counts plain requests of client accounts against their quotas.
 
-    It changes no state here: whoever applies the log counts it against quotas.
+    It doesn't change `ControlState`: each keeper that applies the log counts
+    the requests in its `Quotas`.
 
     Attributes:
+        uses: number of requests, by account.
         at_ms: the log's time.
     """
 
@@ -65,7 +71,7 @@
     """One record of the control group's log.
 
     Attributes:
-        tag: lets the proposer find whom to answer.
+        tag: identifies the proposal, so that its proposer can answer it.
     """
 
     tag: str
@@ -96,16 +102,24 @@
     """The state machine of the control group.
 
     Args:
-        on_routing: called when another routing document is in force.
-        on_fleet: called with the servers that changed.
-        on_expired: called with turns whose bytes are needed no more.
-        on_quarantined: called with contents that are quarantined from now on.
+        on_routing_changed: called when another routing document is in force.
+        on_servers_changed: called with the servers that changed.
+        on_expired: called with turns that expired.
+        on_quarantined: called with digests that are newly quarantined.
+
+    Attributes:
+        quarantined: digests of the quarantined contents, oldest first.
+        routing: the routing document in force.
+        fleet: the backend servers.
+        ledger: budgets and turns of programs.
+        stores: the stores of turns' bytes.
+        index: log index of the last record applied.
     """
 
     def __init__(
         self,
-        on_routing: Callable[[], None] = lambda: None,
-        on_fleet: Callable[[list[Instance]], None] = lambda _: None,
+        on_routing_changed: Callable[[], None] = lambda: None,
+        on_servers_changed: Callable[[list[Instance]], None] = lambda _: None,
         on_expired: Callable[[list[str]], None] = lambda _: None,
         on_quarantined: Callable[[list[str]], None] = lambda _: None,
     ) -> None:
@@ -116,8 +130,8 @@
         self.ledger = Ledger()
         self.stores = Stores()
         self.index = 0
-        self._on_routing = on_routing
-        self._on_fleet = on_fleet
+        self._on_routing_changed = on_routing_changed
+        self._on_servers_changed = on_servers_changed
         self._on_expired = on_expired
 
     @property
@@ -126,7 +140,7 @@
         return self.routing.version if self.routing is not None else -1
 
     def apply(self, index: int, record: Record) -> Outcome:
-        """Applies a committed record."""
+        """Applies a committed record; returns the result for its proposer."""
         self.index = index
         body = record.body
         out = Outcome()
@@ -134,17 +148,17 @@
             case SetRouting():
                 if body.routing.version > self.version:
                     self.routing = body.routing
-                    self._on_routing()
+                    self._on_routing_changed()
             case Announce():
                 changed = self.fleet.apply(body.instance)
                 if changed:
-                    self._on_fleet(changed)
+                    self._on_servers_changed(changed)
             case Begin():
                 out = self.ledger.begin(body)
             case Finish():
                 out = self.ledger.finish(body)
             case Moved():
-                self.ledger.moved(body)
+                self.ledger.set_holders(body)
             case Register():
                 self.stores.register(body.store)
             case Retire():
@@ -156,7 +170,7 @@
         return out
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the whole state, encoded."""
         state = ControlSnapshot(
             routing=self.routing,
             instances=self.fleet.state(),
@@ -167,7 +181,12 @@
         return codec.encode(state)
 
     def restore(self, index: int, data: bytes) -> None:
-        """Replaces the whole state."""
+        """Replaces the whole state by a snapshot's.
+
+        Args:
+            index: log index of the snapshot.
+            data: the encoded state.
+        """
         state = _state_decoder.decode(data)
         self.index = index
         self.routing = state.routing
@@ -175,8 +194,8 @@
         self.ledger.restore(state.ledger)
         self.stores.by_node = {store.node: store for store in state.stores}
         self.quarantined = dict.fromkeys(state.quarantined)
-        self._on_routing()
-        self._on_fleet(list(self.fleet.servers.values()))
+        self._on_routing_changed()
+        self._on_servers_changed(list(self.fleet.servers.values()))
 
     def _quarantine(self, contents: list[str]) -> None:
         self.quarantined.update(dict.fromkeys(contents))
--- a/catkinpin/core/control/stores.py
+++ b/catkinpin/core/control/stores.py
@@ -1,4 +1,4 @@
-"""Hosts that hold turns' bytes: which there are, and which are to go."""
+"""The stores: hosts that store the bytes of turns."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class Store(Message, frozen=True):
-    """A store.
+    """A host that stores the bytes of turns.
 
     Attributes:
         node: its identity, new for each new data folder.
-        name: of its host, by which operators know it.
+        name: name of its host, used by operators.
         address: peer address.
-        retiring: whether it is to be emptied and taken away.
+        retiring: whether it is being emptied before it is removed.
     """
 
     node: str
@@ -24,42 +24,51 @@
 
 
 class Register(Message, frozen=True):
-    """A store says where it is."""
+    """Adds a store, or updates its name and address."""
 
     store: Store
 
 
 class Retire(Message, frozen=True):
-    """An operator has a store emptied."""
+    """Marks a store as one to be emptied, on behalf of an operator."""
 
     name: str
 
 
 class Stores:
-    """All stores that are known, by identity."""
+    """All known stores.
+
+    Attributes:
+        by_node: the stores, by identity.
+    """
 
     def __init__(self) -> None:
         self.by_node: dict[str, Store] = {}
 
     def would_change(self, store: Store) -> bool:
-        """Returns whether registering changes anything."""
+        """Returns whether registering a store changes anything."""
         known = self.by_node.get(store.node)
         if known is None:
             return True
         return (known.name, known.address) != (store.name, store.address)
 
     def register(self, store: Store) -> None:
-        """Takes a store; an older one of that name or place lost its disk."""
+        """Adds a store; removes others with the same name or address.
+
+        The same host with a new identity has lost its disk.
+        """
         if not self.would_change(store):
             return
         for node, other in list(self.by_node.items()):
-            same = other.name == store.name or other.address == store.address
-            if same and node != store.node:
+            is_same_host = (
+                other.name == store.name or other.address == store.address
+            )
+            if is_same_host and node != store.node:
                 del self.by_node[node]
         self.by_node[store.node] = store
 
     def retire(self, name: str) -> None:
-        """Marks a store as one to be emptied."""
+        """Marks a store as one to be emptied; ignores unknown names."""
         store = self.find(name)
         if store is not None:
             self.by_node[store.node] = Store(
@@ -72,13 +81,13 @@
             )
 
     def find(self, name: str) -> Store | None:
-        """Returns a store by its host's name."""
+        """Returns the store with a host name, None if there is none."""
         for store in self.by_node.values():
             if store.name == name:
                 return store
         return None
 
     def count_without(self, name: str) -> int:
-        """Returns how many stores would be left once `name` is gone."""
+        """Returns how many stores remain without `name` and retiring ones."""
         others = [s for s in self.by_node.values() if s.name != name]
         return sum(not store.retiring for store in others)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -162,7 +162,9 @@
 
     def test_no_window_holds_more_than_allowed(self) -> None:
         """Guards against a quota that many gateways exceed together."""
-        allowed = _TOLERANCE.allowed(_QUOTA) + _TOLERANCE.requests(_QUOTA)
+        allowed = _TOLERANCE.allowed_requests(
+            _QUOTA
+        ) + _TOLERANCE.extra_requests(_QUOTA)
         self.assertLessEqual(self.load.worst_window("hot"), allowed)
 
     def test_others_are_hardly_refused(self) -> None:
@@ -185,7 +187,9 @@
 
     def test_no_window_holds_more_than_allowed(self) -> None:
         """Guards against a new leader that has forgotten what was used."""
-        allowed = _TOLERANCE.allowed(_QUOTA) + _TOLERANCE.requests(_QUOTA)
+        allowed = _TOLERANCE.allowed_requests(
+            _QUOTA
+        ) + _TOLERANCE.extra_requests(_QUOTA)
         for seed in range(40):
             rng = random.Random(seed)
             load = _Load(rng, {"a": rng.uniform(0.5, 20.0)})
@@ -273,7 +277,7 @@
             if now_ms % 2_000 == 0:
                 refused += quotas.admission_wait_ms("a", now_ms, turns=1) > 0
         self.assertEqual(0, refused)
-        allowed = 20 * _QUOTA.rate_per_s + _TOLERANCE.allowed(_QUOTA)
+        allowed = 20 * _QUOTA.rate_per_s + _TOLERANCE.allowed_requests(_QUOTA)
         self.assertLess(loops, allowed)
 
     def test_lower_quota_holds_at_once(self) -> None:
