--- a/catkinpin/core/control/copies.py
+++ b/catkinpin/core/control/copies.py
@@ -58,7 +58,7 @@
     turns: Iterable[Turn],
     counted: set[str],
     hosts: list[Holder],
-    wanted_copies: int,
+    wanted: int,
 ) -> list[CopyBatch]:
     """Returns the next batches to copy.
 
@@ -67,46 +67,42 @@
         counted: identities of the hosts whose copies count, without those that
             lost their disk, are gone or are to be emptied.
         hosts: hosts that can be reached now.
-        wanted_copies: number of hosts that each turn should be stored at.
+        wanted: number of hosts that each turn should be stored at.
     """
     reachable = {host.node: host for host in hosts}
     targets = [host for host in hosts if host.node in counted]
     batches: dict[tuple[str, ...], CopyBatch] = {}
-    planned_bytes = dict.fromkeys(reachable, 0)
+    added_bytes = dict.fromkeys(reachable, 0)
     for turn in turns:
-        counted_holders = tuple(
-            node for node in turn.holders if node in counted
-        )
-        if len(counted_holders) >= wanted_copies:
+        nodes = tuple(node for node in turn.holders if node in counted)
+        if len(nodes) >= wanted:
             continue
         source = next(
             (
                 reachable[node]
-                for node in (*counted_holders, *turn.holders)
+                for node in (*nodes, *turn.holders)
                 if node in reachable
             ),
             None,
         )
         if source is None:
             continue
-        used_domains = {
-            reachable[n].domain for n in counted_holders if n in reachable
-        }
+        used_domains = {reachable[n].domain for n in nodes if n in reachable}
         target = _choose_target(
-            source, counted_holders, used_domains, targets, planned_bytes
+            source, nodes, used_domains, targets, added_bytes
         )
         if target is None:
             continue
-        key = (source.node, target.node, *counted_holders)
+        key = (source.node, target.node, *nodes)
         if key not in batches:
             if len(batches) >= _MAX_BATCHES:
                 continue
-            batches[key] = CopyBatch([], source, target, counted_holders)
+            batches[key] = CopyBatch([], source, target, nodes)
         batch = batches[key]
         if batch.size < _MAX_BATCH_BYTES:
             batch.attempts.append(turn.attempt)
             batch.size += turn.size
-            planned_bytes[target.node] += turn.size
+            added_bytes[target.node] += turn.size
     return list(batches.values())
 
 
@@ -166,7 +162,7 @@
     counted_holders: tuple[str, ...],
     used_domains: set[str],
     targets: list[Holder],
-    planned_bytes: dict[str, int],
+    added_bytes: dict[str, int],
 ) -> Holder | None:
     """Returns the target for copying a turn from `source`; None for no host.
 
@@ -183,7 +179,7 @@
         key=lambda host: (
             host.region != source.region,
             host.domain in {source.domain, *used_domains},
-            planned_bytes[host.node],
+            added_bytes[host.node],
         ),
         default=None,
     )
--- a/catkinpin/core/control/servers.py
+++ b/catkinpin/core/control/servers.py
@@ -129,14 +129,14 @@
         if announced.state.is_offline:
             return [self._remove(announced)]
         changed = []
-        occupant = self.servers.get(self._by_address.get(announced.address, ""))
-        if occupant is not None and occupant.id != announced.id:
+        other = self.servers.get(self._by_address.get(announced.address, ""))
+        if other is not None and other.id != announced.id:
             # An address belongs to one process, the one that started last. If a
             # late announcement gave it back to the older one, requests of one
             # service could reach a server of another.
-            if occupant.started_ms > announced.started_ms:
+            if other.started_ms > announced.started_ms:
                 return []
-            removed = _with_state(occupant, ServerState.GONE)
+            removed = _with_state(other, ServerState.GONE)
             changed.append(self._remove(removed))
         self._removed.pop(announced.id, None)
         self._put(announced)
