--- a/catkinpin/core/control/ledger.py
+++ b/catkinpin/core/control/ledger.py
@@ -52,7 +52,8 @@
     """Ends a turn and replaces its reservation by the tokens generated.
 
     Attributes:
-        tokens: tokens that the caller received, charged even if it failed.
+        tokens: tokens that the caller received; they are charged even if the
+            turn failed.
         is_whole: whether the turn is complete and may be continued.
         holders: identities of the hosts that store its bytes.
         size: length of these bytes.
@@ -133,7 +134,8 @@
         spent: tokens of its finished turns.
         reserved: tokens that its open turns may still generate.
         until_ms: when the budget expires, by the log's time.
-        allowed_ms: the longest time that any of its turns gave it to finish.
+        allowed_ms: longest time to finish that any of its turns stated, usually
+            the first one.
         begun_ms: start of the program, by the log's time.
         server: the server that ran its latest turn.
         lost_ms: how much longer its turns took than on idle servers.
