--- a/catkinpin/adapters/entry/configured.py
+++ b/catkinpin/adapters/entry/configured.py
@@ -50,7 +50,9 @@
         if update.base == 0 or self.configuration is None:
             cfg = Configuration(update.upserts)
         else:
-            cfg = self.configuration.changed(update.upserts, update.removes)
+            cfg = self.configuration.with_changes(
+                update.upserts, update.removes
+            )
         self.configuration = cfg
         self.revision = update.revision
         self.accounts = {a.key_sha256: a.name for a in cfg.accounts.values()}
--- a/catkinpin/adapters/entry/process.py
+++ b/catkinpin/adapters/entry/process.py
@@ -232,8 +232,8 @@
         Calls that still arrive are served; the balancer sends no new ones.
         """
         cfg = self.configured.configuration
-        return cfg is not None and cfg.place_drained(
-            deployments.host_of(self.admin_address),
+        return cfg is not None and cfg.is_place_drained(
+            deployments.parse_host(self.admin_address),
             self.cfg.failure_domain,
             self.cfg.region,
         )
--- a/catkinpin/adapters/replica/controlhost.py
+++ b/catkinpin/adapters/replica/controlhost.py
@@ -37,7 +37,7 @@
     def __init__(self, replica: ReplicaContext) -> None:
         self._replica = replica
         self._reported: dict[str, changes.ServerFacts] = {}
-        self.state = control.Control()
+        self.state = control.ControlState()
         self.leader: leader.ControlLeader | None = None
         self.group = replica.node.add_group(sharding.CONTROL_GROUP, self)
 
@@ -66,7 +66,7 @@
         clock = self._replica.clock
         commands = self.leader.tick(clock.now_ms(), clock.wall_ms())
         facts = list(reported.values())
-        commands += self.leader.servers_changed(facts, clock.wall_ms())
+        commands += self.leader.propose_server_facts(facts, clock.wall_ms())
         self._run(commands)
 
     def reported(self, reports: Iterable[messages.ServerReport]) -> None:
@@ -113,15 +113,15 @@
             self._replica.configuration_changed(self.state.cfg)
         if self.leader is not None:
             now = self._replica.clock.now_ms()
-            commands = self.leader.applied(record, outcome, now)
+            commands = self.leader.answer_waiters(record, outcome, now)
             if self.state.revision != before:
-                commands += self.leader.push(before)
+                commands += self.leader.push_update(before)
             self._run(commands)
 
     def leadership(self, leading: bool) -> None:
         """Takes up or lays down the leader's part."""
         if self.leader is not None:
-            for command in self.leader.abandon():
+            for command in self.leader.redirect_waiters():
                 self._run([command])
         self.leader = None
         if leading:
@@ -130,12 +130,12 @@
 
     def snapshot(self) -> bytes:
         """Returns the state."""
-        return snapshot.save(self.state)
+        return snapshot.encode_state(self.state)
 
     def restore(self, data: bytes) -> None:
         """Replaces the state by a snapshot."""
         before = self.state.revision
-        self.state = snapshot.load(data)
+        self.state = snapshot.decode_state(data)
         if self.state.revision != before:
             self._replica.configuration_changed(self.state.cfg)
 
@@ -151,7 +151,7 @@
                 case leader.Send():
                     self._replica.send_to(command.to, command.message)
 
-    def _look(self) -> plans.Facts:
+    def _look(self) -> plans.ClusterView:
         programs = itertools.chain.from_iterable(
             host.state.programs.values()
             for host in self._replica.shards.values()
@@ -160,12 +160,12 @@
         now = self._replica.clock.now_ms()
         view = self._replica.view
         reports = [server.report for server in view.servers.values()]
-        return plans.Facts(
+        return plans.ClusterView(
             cfg=cfg,
             revision=self.state.revision,
             revision_of=self.state.revision_of,
             servers=sorted(reports, key=lambda report: report.server),
-            usage=usage.usage_of(programs, cfg),
+            usage=usage.summarize_usage(programs, cfg),
             silent=frozenset(view.silent(now)),
         )
 
--- a/catkinpin/core/operations/control.py
+++ b/catkinpin/core/operations/control.py
@@ -26,7 +26,7 @@
 # The first answer to a change is kept so long for those who send it again.
 # Later a resend finds its base revision passed, and is refused: nothing can
 # ever be applied twice.
-RESULTS_KEPT_MS = 24 * 3_600_000
+RESULT_RETENTION_MS = 24 * 3_600_000
 _TOMBSTONES = 10_000
 _PLANS_KEPT_MS = 7 * 24 * 3_600_000
 _NAMES_SHOWN = 20
@@ -99,7 +99,7 @@
         return self.steps[self.step]
 
 
-class Control:
+class ControlState:
     """The control group's state; its revision only ever rises.
 
     Attributes:
@@ -215,7 +215,7 @@
         return result
 
     def _forget_old_results(self) -> None:
-        oldest = self.now_ms - RESULTS_KEPT_MS
+        oldest = self.now_ms - RESULT_RETENTION_MS
         while self.results:
             request_id, result = next(iter(self.results.items()))
             if result.at_ms >= oldest:
--- a/catkinpin/core/operations/deployments.py
+++ b/catkinpin/core/operations/deployments.py
@@ -120,7 +120,7 @@
         """Returns whether the server is drained by this."""
         place = {
             SCOPE_SERVER: report.server,
-            SCOPE_HOST: host_of(report.address),
+            SCOPE_HOST: parse_host(report.address),
             SCOPE_DOMAIN: report.domain,
             SCOPE_REGION: report.region,
         }
@@ -149,7 +149,7 @@
 
 
 @functools.lru_cache(maxsize=4096)
-def host_of(address: str) -> str:
+def parse_host(address: str) -> str:
     """Returns the IP in an address such as `http://10.0.0.1:80`."""
     place = address.rpartition("//")[2].partition("/")[0]
     return place.rpartition(":")[0].strip("[]")
@@ -185,7 +185,7 @@
         """Returns all items."""
         return [*self.accounts.values(), *self.deployments, *self.drains]
 
-    def changed(
+    def with_changes(
         self, upserts: Iterable[Item], removes: Iterable[ItemKey]
     ) -> Configuration:
         """Returns a configuration with items replaced and removed."""
@@ -237,7 +237,7 @@
         """Returns whether the server gets no new work from anyone."""
         return any(drain.covers(report) for drain in self.drains)
 
-    def place_drained(self, host: str, domain: str, region: str) -> bool:
+    def is_place_drained(self, host: str, domain: str, region: str) -> bool:
         """Returns whether a host, its failure domain or region is drained."""
         place = {SCOPE_HOST: host, SCOPE_DOMAIN: domain, SCOPE_REGION: region}
         return any(
--- a/catkinpin/core/operations/drafts.py
+++ b/catkinpin/core/operations/drafts.py
@@ -19,10 +19,10 @@
 from catkinpin.core.operations.plans import (
     BaseItem,
     ChangeStep,
+    ClusterView,
     DrainPlace,
-    Facts,
-    Impossible,
     Intent,
+    InvalidIntent,
     Move,
     NewVersion,
     OrderStep,
@@ -36,25 +36,25 @@
 
 
 def make_plan(
-    plan_id: str, intent: Intent, operator: str, facts: Facts
-) -> Plan | Impossible:
+    plan_id: str, intent: Intent, operator: str, view: ClusterView
+) -> Plan | InvalidIntent:
     """Returns the plan that carries out an intent."""
-    drafted = _draft(intent, facts)
-    if isinstance(drafted, Impossible):
+    drafted = _draft(intent, view)
+    if isinstance(drafted, InvalidIntent):
         return drafted
-    after = facts.cfg.changed(drafted.upserts, drafted.removes)
+    after = view.cfg.with_changes(drafted.upserts, drafted.removes)
     keys = [key_of(item) for item in drafted.upserts]
     keys += [*drafted.removes, *drafted.read]
     base = [
-        BaseItem(key=key, revision=facts.revision_of(key))
+        BaseItem(key=key, revision=view.revision_of(key))
         for key in dict.fromkeys(keys)
     ]
-    forecast = forecasts.forecast(facts, after, drafted)
+    forecast = forecasts.forecast(view, after, drafted)
     return Plan(
         plan_id=plan_id,
         intent=intent,
         operator=operator,
-        revision=facts.revision,
+        revision=view.revision,
         base=base,
         rest=sorted(load.server for load in forecast.loads),
         steps=drafted.steps,
@@ -62,35 +62,39 @@
     )
 
 
-def _draft(intent: Intent, facts: Facts) -> Draft | Impossible:
+def _draft(intent: Intent, view: ClusterView) -> Draft | InvalidIntent:
     match intent:
         case DrainPlace():
-            return _draft_drain(intent, facts)
+            return _draft_drain(intent, view)
         case Undrain():
-            return _draft_undrain(intent, facts)
-    found = facts.cfg.deployment(intent.deployment)
+            return _draft_undrain(intent, view)
+    found = view.cfg.deployment(intent.deployment)
     if found is None:
-        return Impossible([f"deployment: {intent.deployment!r} is not known"])
+        return InvalidIntent(
+            [f"deployment: {intent.deployment!r} is not known"]
+        )
     match intent:
         case Move():
-            return _draft_move(intent, found, facts)
+            return _draft_move(intent, found, view)
         case SetBudget():
-            return _draft_budget(intent, found, facts)
+            return _draft_budget(intent, found, view)
         case Scale():
-            return _draft_scale(intent, found, facts)
+            return _draft_scale(intent, found, view)
         case NewVersion():
-            return _draft_version(intent, found, facts)
+            return _draft_version(intent, found, view)
 
 
-def _draft_drain(intent: DrainPlace, facts: Facts) -> Draft | Impossible:
+def _draft_drain(
+    intent: DrainPlace, view: ClusterView
+) -> Draft | InvalidIntent:
     if intent.scope not in SCOPES:
         allowed = ", ".join(SCOPES)
-        return Impossible([f"scope: {allowed} are allowed"])
+        return InvalidIntent([f"scope: {allowed} are allowed"])
     drain = Drain(scope=intent.scope, name=intent.name)
-    if drain in facts.cfg.drains:
+    if drain in view.cfg.drains:
         text = f"name: {intent.scope} {intent.name!r} is drained already"
-        return Impossible([text])
-    covered = sorted(r.server for r in facts.servers if drain.covers(r))
+        return InvalidIntent([text])
+    covered = sorted(r.server for r in view.servers if drain.covers(r))
     place = f"{intent.scope} {intent.name}"
     draft = Draft(
         steps=[ChangeStep(text=f"no new work for {place}", upserts=[drain])],
@@ -109,24 +113,26 @@
     return WaitStep(text=text, servers=servers, deployment=deployment)
 
 
-def _draft_undrain(intent: Undrain, facts: Facts) -> Draft | Impossible:
+def _draft_undrain(intent: Undrain, view: ClusterView) -> Draft | InvalidIntent:
     drain = Drain(scope=intent.scope, name=intent.name)
-    if drain not in facts.cfg.drains:
+    if drain not in view.cfg.drains:
         text = f"name: {intent.scope} {intent.name!r} is not drained"
-        return Impossible([text])
+        return InvalidIntent([text])
     key = key_of(drain)
     text = f"new work for {intent.scope} {intent.name} again"
     return Draft(steps=[ChangeStep(text=text, removes=[key])], removes=[key])
 
 
 def _draft_move(
-    intent: Move, found: Deployment, facts: Facts
-) -> Draft | Impossible:
-    known = {report.server for report in facts.servers}
+    intent: Move, found: Deployment, view: ClusterView
+) -> Draft | InvalidIntent:
+    known = {report.server for report in view.servers}
     unknown = [name for name in intent.off if name not in known]
     if unknown or not intent.off:
         shown = ", ".join(map(repr, unknown)) or "none given"
-        return Impossible([f"off: names of known servers are needed: {shown}"])
+        return InvalidIntent(
+            [f"off: names of known servers are needed: {shown}"]
+        )
     return _off(found, intent.off)
 
 
@@ -145,12 +151,12 @@
 
 
 def _draft_budget(
-    intent: SetBudget, found: Deployment, facts: Facts
-) -> Draft | Impossible:
+    intent: SetBudget, found: Deployment, view: ClusterView
+) -> Draft | InvalidIntent:
     given = (intent.tokens, intent.turns, intent.seconds)
     if not any(given) or any(value < 0 for value in given):
         text = "tokens, turns, seconds: at least one above 0 is needed"
-        return Impossible([f"{text}, got {given}"])
+        return InvalidIntent([f"{text}, got {given}"])
     changed = msgspec.structs.replace(
         found,
         budget_tokens=intent.tokens or found.budget_tokens,
@@ -159,7 +165,7 @@
     )
     text = f"change the budget of {found.name} for programs that begin later"
     draft = Draft([ChangeStep(text=text, upserts=[changed])], [changed])
-    over = facts.overspent(changed)
+    over = view.overspent(changed)
     if over:
         draft.notes.append(
             f"{over} programs under way have spent more than the new budget;"
@@ -169,17 +175,17 @@
 
 
 def _draft_scale(
-    intent: Scale, found: Deployment, facts: Facts
-) -> Draft | Impossible:
+    intent: Scale, found: Deployment, view: ClusterView
+) -> Draft | InvalidIntent:
     if intent.servers < 1:
-        return Impossible(["servers: at least 1 is allowed"])
+        return InvalidIntent(["servers: at least 1 is allowed"])
     held = collections.Counter[str]()
-    for usage in facts.usage:
+    for usage in view.usage:
         held[usage.server] += usage.tokens
     off: list[str] = []
     on: list[str] = []
     for target in found.targets:
-        serving = [r for r in facts.servers if target in r.serves]
+        serving = [r for r in view.servers if target in r.serves]
         used = [r.server for r in serving if found.servers.holds(r)]
         spare = [r.server for r in serving if r.server in found.servers.off]
         # The servers that hold the fewest tokens go first: the least is
@@ -191,7 +197,7 @@
         return _off(found, list(dict.fromkeys(off)))
     if not on:
         text = "servers: no server is to be added or taken off"
-        return Impossible([text])
+        return InvalidIntent([text])
     names = [name for name in found.servers.off if name not in on]
     changed = _with_off(found, names)
     text = f"let {found.name} use {', '.join(on)}"
@@ -199,15 +205,15 @@
 
 
 def _draft_version(
-    intent: NewVersion, found: Deployment, facts: Facts
-) -> Draft | Impossible:
+    intent: NewVersion, found: Deployment, view: ClusterView
+) -> Draft | InvalidIntent:
     if intent.target not in found.targets:
         allowed = ", ".join(found.targets)
-        return Impossible([f"target: one of {allowed} is allowed"])
+        return InvalidIntent([f"target: one of {allowed} is allowed"])
     old = found.versions.get(intent.target, "")
     serving = sorted(
         report.server
-        for report in facts.servers
+        for report in view.servers
         if intent.target in report.serves and found.servers.holds(report)
     )
     versions = {**found.versions, intent.target: intent.version}
@@ -215,7 +221,7 @@
     draft = Draft(steps=[], upserts=[changed], reloaded=serving)
     for server in serving:
         # One server at a time, so that the others carry the load meanwhile.
-        draft.steps += _reload(server, intent, old, facts)
+        draft.steps += _reload(server, intent, old, view)
         drain = Drain(scope=SCOPE_SERVER, name=server)
         draft.read.append(key_of(drain))
     text = f"{found.name} is on version {intent.version} of {intent.target}"
@@ -224,7 +230,7 @@
 
 
 def _reload(
-    server: str, intent: NewVersion, old: str, facts: Facts
+    server: str, intent: NewVersion, old: str, view: ClusterView
 ) -> list[Step]:
     drain = Drain(scope=SCOPE_SERVER, name=server)
     order = OrderStep(
@@ -233,7 +239,7 @@
         order=_load_order(intent.target, intent.version),
         reverse=_load_order(intent.target, old),
     )
-    if drain in facts.cfg.drains:
+    if drain in view.cfg.drains:
         return [order]
     begin = f"no new work for server {server}"
     end = f"new work for server {server} again"
--- a/catkinpin/core/operations/forecasts.py
+++ b/catkinpin/core/operations/forecasts.py
@@ -8,7 +8,7 @@
 
 from catkinpin.core.operations.plans import (
     BYTES_PER_TOKEN,
-    Facts,
+    ClusterView,
     Forecast,
     ServerLoad,
     Step,
@@ -40,20 +40,20 @@
     reloaded: list[str] = dataclasses.field(default_factory=list)
 
 
-def forecast(facts: Facts, after: Configuration, draft: Draft) -> Forecast:
+def forecast(view: ClusterView, after: Configuration, draft: Draft) -> Forecast:
     """Returns what a drafted plan would bring.
 
     Args:
-        facts: what is known now.
+        view: what is known now.
         after: the configuration once the plan is carried out.
         draft: its steps and notes.
     """
-    reports = {report.server: report for report in facts.servers}
+    reports = {report.server: report for report in view.servers}
     added = collections.Counter[str]()
     gone = collections.Counter[str]()
     refused = list(draft.notes)
     programs = tokens = link = 0
-    for usage in facts.usage:
+    for usage in view.usage:
         left = reports.get(usage.server)
         if left is None:
             continue
@@ -62,9 +62,9 @@
             tokens += usage.tokens
             continue
         stays = after.allows(usage.deployment, left)
-        if stays or not facts.cfg.allows(usage.deployment, left):
+        if stays or not view.cfg.allows(usage.deployment, left):
             continue
-        rest = _rest(facts, after, usage.deployment, usage.target)
+        rest = _rest(view, after, usage.deployment, usage.target)
         programs += usage.programs
         tokens += usage.tokens
         gone[usage.server] += usage.calls
@@ -72,9 +72,9 @@
             link += usage.tokens * BYTES_PER_TOKEN
         _spread(usage.calls, rest, added)
     for deployment in after.deployments:
-        refused += _refusals(facts, after, deployment)
-    touched = _touched(facts, after, draft)
-    rests = (_rest(facts, after, name, target) for name, target in touched)
+        refused += _refusals(view, after, deployment)
+    touched = _touched(view, after, draft)
+    rests = (_rest(view, after, name, target) for name, target in touched)
     staying = {report.server for rest in rests for report in rest}
     loads = [_load(reports[n], added[n], gone[n]) for n in sorted(staying)]
     refused += [
@@ -92,15 +92,15 @@
 
 
 def _rest(
-    facts: Facts, cfg: Configuration, name: str, target: str
+    view: ClusterView, cfg: Configuration, name: str, target: str
 ) -> list[ServerReport]:
     """Returns the servers that can take a deployment's calls for a target."""
     return [
         report
-        for report in facts.servers
+        for report in view.servers
         if target in report.serves
         and not report.leaving
-        and report.server not in facts.silent
+        and report.server not in view.silent
         and cfg.allows(name, report)
     ]
 
@@ -114,14 +114,14 @@
 
 
 def _refusals(
-    facts: Facts, after: Configuration, deployment: Deployment
+    view: ClusterView, after: Configuration, deployment: Deployment
 ) -> list[str]:
     """Returns which targets had a server and would have none."""
     lines = []
     for target in deployment.targets:
-        if _rest(facts, after, deployment.name, target):
+        if _rest(view, after, deployment.name, target):
             continue
-        if _rest(facts, facts.cfg, deployment.name, target):
+        if _rest(view, view.cfg, deployment.name, target):
             lines.append(
                 f"every call of {deployment.name} for {target}: no server"
                 " would be left"
@@ -130,13 +130,13 @@
 
 
 def _touched(
-    facts: Facts, after: Configuration, draft: Draft
+    view: ClusterView, after: Configuration, draft: Draft
 ) -> set[tuple[str, str]]:
     """Returns deployment and target pairs whose servers change."""
     found = set()
     for deployment in after.deployments:
-        for report in facts.servers:
-            before = facts.cfg.allows(deployment.name, report)
+        for report in view.servers:
+            before = view.cfg.allows(deployment.name, report)
             changes = before != after.allows(deployment.name, report)
             if changes or report.server in draft.reloaded:
                 shared = set(deployment.targets) & set(report.serves)
--- a/catkinpin/core/operations/leader.py
+++ b/catkinpin/core/operations/leader.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from catkinpin.core.operations.control import Control, PlanRun
+    from catkinpin.core.operations.control import ControlState, PlanRun
 
 # How long a plan's servers must have been without calls: attempts that another
 # process has just granted reach this one's log by then.
@@ -54,7 +54,10 @@
     """
 
     def __init__(
-        self, state: Control, now_ms: int, look: Callable[[], plans.Facts]
+        self,
+        state: ControlState,
+        now_ms: int,
+        look: Callable[[], plans.ClusterView],
     ) -> None:
         self._state = state
         self._look = look
@@ -94,7 +97,7 @@
                 return self._order_result(info, message, wall_ms)
         return []
 
-    def abandon(self) -> list[Command]:
+    def redirect_waiters(self) -> list[Command]:
         """Sends those who wait to whoever leads next."""
         waiters = [*self._waiters.all(), *self._arriving.values()]
         return [
@@ -107,7 +110,7 @@
             for waiter in waiters
         ]
 
-    def applied(
+    def answer_waiters(
         self, record: changes.ControlRecord, outcome: Any, now_ms: int
     ) -> list[Command]:
         """Answers those who wait for a record that is now committed."""
@@ -133,7 +136,7 @@
                 commands = []
         return commands
 
-    def push(self, before: int) -> list[Command]:
+    def push_update(self, before: int) -> list[Command]:
         """Sends what changed since revision `before` to all lease holders.
 
         Who confirmed an older one gets what it lacks when it renews.
@@ -166,7 +169,7 @@
             commands += self._advance(now_ms, wall_ms)
         return commands
 
-    def servers_changed(
+    def propose_server_facts(
         self, facts: list[changes.ServerFacts], wall_ms: int
     ) -> list[Command]:
         """Registers hard facts of servers where they differ from the log."""
@@ -276,7 +279,7 @@
         made = drafts.make_plan(
             make.plan_id, make.intent, make.operator, self._look()
         )
-        if isinstance(made, plans.Impossible):
+        if isinstance(made, plans.InvalidIntent):
             return [
                 self._shown(
                     info.incarnation, make.ask, make.plan_id, made.problems
--- a/catkinpin/core/operations/leases.py
+++ b/catkinpin/core/operations/leases.py
@@ -17,7 +17,7 @@
 # that its holder still goes by.
 LEASE_MS = 3_000
 # Two monotonic clocks may run apart by this much in the time of a lease.
-DRIFT_MS = 30
+MAX_CLOCK_DRIFT_MS = 30
 _FORGET_AFTER_MS = 60_000
 
 
@@ -46,7 +46,7 @@
     def __init__(self, known: Iterable[ProcessInfo], now_ms: int) -> None:
         self.holders: dict[str, Holder] = {}
         for info in known:
-            self.registered(info, now_ms + LEASE_MS + DRIFT_MS)
+            self.registered(info, now_ms + LEASE_MS + MAX_CLOCK_DRIFT_MS)
 
     def registered(self, info: ProcessInfo, lapses_ms: int) -> None:
         """Notes a process that stands in the log."""
@@ -59,7 +59,7 @@
         if holder is None:
             return False
         holder.revision = max(holder.revision, revision)
-        holder.lapses_ms = now_ms + LEASE_MS + DRIFT_MS
+        holder.lapses_ms = now_ms + LEASE_MS + MAX_CLOCK_DRIFT_MS
         return True
 
     def confirmed(self, incarnation: str, revision: int) -> None:
--- a/catkinpin/core/operations/orders.py
+++ b/catkinpin/core/operations/orders.py
@@ -14,7 +14,7 @@
 from catkinpin.core.operations import changes, plans
 
 if TYPE_CHECKING:
-    from catkinpin.core.operations.control import Control
+    from catkinpin.core.operations.control import ControlState
 
 CLAIM_MS = 5_000
 _DRIFT_MS = 50
@@ -24,7 +24,7 @@
 class Orders:
     """Orders that are under way; lost with the leadership."""
 
-    def __init__(self, state: Control, now_ms: int) -> None:
+    def __init__(self, state: ControlState, now_ms: int) -> None:
         self._state = state
         self._since_ms = now_ms
         self._offered: dict[tuple[str, int], int] = {}
--- a/catkinpin/core/operations/plans.py
+++ b/catkinpin/core/operations/plans.py
@@ -195,7 +195,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Usage:
+class ServerUsage:
     """What a deployment's programs have on a server.
 
     Attributes:
@@ -213,7 +213,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Facts:
+class ClusterView:
     """What is known when a plan is made.
 
     Attributes:
@@ -226,13 +226,13 @@
     revision: int
     revision_of: Callable[[ItemKey], int]
     servers: list[ServerReport]
-    usage: list[Usage]
+    usage: list[ServerUsage]
     silent: frozenset[str] = frozenset()
     overspent: Callable[[Deployment], int] = lambda _: 0
 
 
 @dataclasses.dataclass(frozen=True)
-class Impossible:
+class InvalidIntent:
     """The intent can't be planned; each problem names its field."""
 
     problems: list[str]
--- a/catkinpin/core/operations/reports.py
+++ b/catkinpin/core/operations/reports.py
@@ -9,12 +9,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from catkinpin.core.operations.control import Control, PlanRun
+    from catkinpin.core.operations.control import ControlState, PlanRun
     from catkinpin.core.operations.leases import Holder
 
 
 def plan_progress(
-    run: PlanRun, usage: list[plans.Usage], note: str
+    run: PlanRun, usage: list[plans.ServerUsage], note: str
 ) -> plans.PlanProgress:
     """Returns how far a plan is.
 
@@ -39,8 +39,8 @@
 
 def status(
     ask: int,
-    state: Control,
-    facts: plans.Facts,
+    state: ControlState,
+    view: plans.ClusterView,
     holders: Iterable[Holder],
     note: Callable[[str], str],
     now_ms: int,
@@ -50,7 +50,7 @@
     Args:
         ask: number of the request that is answered.
         state: of the control group.
-        facts: what is known of servers and programs now.
+        view: what is known of servers and programs now.
         holders: of leases.
         note: returns a note on a plan's orders to engines.
         now_ms: monotonic time.
@@ -72,9 +72,9 @@
         revision=state.revision,
         operator=state.last.operator,
         processes=sorted(processes, key=lambda one: one.process),
-        servers=[_server_status(facts, r) for r in facts.servers],
+        servers=[_server_status(view, r) for r in view.servers],
         plans=[
-            plan_progress(run, facts.usage, note(run.plan.plan_id))
+            plan_progress(run, view.usage, note(run.plan.plan_id))
             for run in state.plans.values()
         ],
         quarantined={
@@ -84,15 +84,17 @@
     )
 
 
-def counts(step: plans.WaitStep, usage: plans.Usage) -> bool:
+def counts(step: plans.WaitStep, usage: plans.ServerUsage) -> bool:
     """Returns whether a step waits for these calls to end."""
     whose = step.deployment in ("", usage.deployment)
     return whose and usage.server in step.servers
 
 
-def _server_status(facts: plans.Facts, report: Any) -> changes.ServerStatus:
+def _server_status(
+    view: plans.ClusterView, report: Any
+) -> changes.ServerStatus:
     state = "in use"
-    if facts.cfg.drained(report):
+    if view.cfg.drained(report):
         state = "drained"
     if report.leaving:
         state = "leaving"
--- a/catkinpin/core/operations/snapshot.py
+++ b/catkinpin/core/operations/snapshot.py
@@ -59,7 +59,7 @@
 _decoder = codec.decoder(_State)
 
 
-def save(state: control.Control) -> bytes:
+def encode_state(state: control.ControlState) -> bytes:
     """Returns the state as bytes that `load` takes."""
     saved = _State(
         revision=state.revision,
@@ -91,7 +91,7 @@
     return bytes([FORMAT]) + codec.encode(saved)
 
 
-def load(data: bytes) -> control.Control:
+def decode_state(data: bytes) -> control.ControlState:
     """Returns the state in a snapshot.
 
     Raises:
@@ -105,7 +105,7 @@
         saved = _decoder.decode(data[1:])
     except msgspec.MsgspecError as exc:
         raise StorageError(f"control snapshot: {exc}") from exc
-    state = control.Control()
+    state = control.ControlState()
     state.revision = saved.revision
     state.now_ms = saved.now_ms
     state.oldest_base = saved.oldest_base
--- a/catkinpin/core/operations/usage.py
+++ b/catkinpin/core/operations/usage.py
@@ -6,7 +6,7 @@
 import dataclasses
 from typing import TYPE_CHECKING
 
-from catkinpin.core.operations.plans import Usage
+from catkinpin.core.operations.plans import ServerUsage
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -25,7 +25,9 @@
 _Key = tuple[str, str, str]
 
 
-def usage_of(programs: Iterable[Program], cfg: Configuration) -> list[Usage]:
+def summarize_usage(
+    programs: Iterable[Program], cfg: Configuration
+) -> list[ServerUsage]:
     """Returns calls and cached histories by server and deployment.
 
     It goes through all programs: call it for an operator or while a plan
@@ -45,7 +47,9 @@
     for program in programs:
         _add(program, place)
     return [
-        Usage(server, deployment, target, one.calls, one.programs, one.tokens)
+        ServerUsage(
+            server, deployment, target, one.calls, one.programs, one.tokens
+        )
         for (server, deployment, target), one in sorted(sums.items())
     ]
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,7 +9,7 @@
 from catkinpin.adapters.entry import configured
 from catkinpin.core.operations import changes, control, leader, snapshot
 from catkinpin.core.operations import deployments as items
-from catkinpin.core.operations.leases import DRIFT_MS, LEASE_MS
+from catkinpin.core.operations.leases import LEASE_MS, MAX_CLOCK_DRIFT_MS
 from catkinpin.exceptions import BadRequestError, StorageError
 from tests import base
 
@@ -45,7 +45,7 @@
         One change comes into force; the other operator is told by whom, by
         which request and what was changed, and nothing of hers is in force.
         """
-        state = control.Control()
+        state = control.ControlState()
         state.apply(1, change("a", 0, account("ruegg")))
         first = state.apply(2, change("b", 1, account("kunci")))
         second = state.apply(
@@ -72,14 +72,14 @@
         She gets the first answer, and the change is made once. After a day
         the answer is forgotten; then she is told that her base has passed.
         """
-        state = control.Control()
+        state = control.ControlState()
         first = state.apply(1, change("a", 0, account("ruegg")))
         for number in range(20_000):
             state.apply(2, change(f"x{number}", number + 1, account("kunci")))
         again = state.apply(3, change("a", 0, account("ruegg")))
         self.assertEqual(first, again)
         late = change(
-            "a", 0, account("ruegg"), at_ms=control.RESULTS_KEPT_MS + 1
+            "a", 0, account("ruegg"), at_ms=control.RESULT_RETENTION_MS + 1
         )
         result = state.apply(4, late)
         assert isinstance(result, control.ChangeResult)
@@ -91,7 +91,7 @@
 
         The second must not take the first one's answer for her own.
         """
-        state = control.Control()
+        state = control.ControlState()
         state.apply(1, change("a", 0, account("ruegg")))
         other = state.apply(2, change("a", 0, account("kunci"), operator="b"))
         assert isinstance(other, control.ChangeResult)
@@ -106,8 +106,8 @@
         replay the log or restore a snapshot hold the same.
         """
         rng = random.Random(4)
-        state = control.Control()
-        replayed = control.Control()
+        state = control.ControlState()
+        replayed = control.ControlState()
         receivers = [configured.Configured() for _ in range(4)]
         late: list[changes.ConfigUpdate] = []
         for step in range(400):
@@ -123,7 +123,7 @@
             state.apply(step, record)
             replayed.apply(step, record)
             if rng.random() < 0.1:
-                state = snapshot.load(snapshot.save(state))
+                state = snapshot.decode_state(snapshot.encode_state(state))
             for receiver in receivers:
                 late.append(state.update_since(receiver.revision))
                 update = rng.choice(late[-40:])
@@ -146,9 +146,9 @@
 
         The replica says so and does not start on a state it can't read.
         """
-        data = snapshot.save(control.Control())
-        self.assertRaises(StorageError, snapshot.load, b"\x09" + data)
-        self.assertRaises(StorageError, snapshot.load, data[:-3])
+        data = snapshot.encode_state(control.ControlState())
+        self.assertRaises(StorageError, snapshot.decode_state, b"\x09" + data)
+        self.assertRaises(StorageError, snapshot.decode_state, data[:-3])
 
 
 class LeasesTest(base.TestCase):
@@ -156,7 +156,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.state = control.Control()
+        self.state = control.ControlState()
         self.state.apply(1, change("a", 0, account("ruegg")))
         self.leader = self.elected(0)
         self.entry = changes.ProcessInfo(
@@ -187,7 +187,9 @@
         for command in self.leader.tick(now_ms, 0):
             assert isinstance(command, leader.Propose)
             outcome = self.state.apply(0, command.record)
-            answers += self.leader.applied(command.record, outcome, now_ms)
+            answers += self.leader.answer_waiters(
+                command.record, outcome, now_ms
+            )
         return answers
 
     def lacking(self, revision: int, now_ms: int) -> list[str]:
@@ -221,7 +223,7 @@
         """
         self.renew(1, 100)
         self.state.apply(2, change("b", 1, account("kunci")))
-        end = 100 + LEASE_MS + DRIFT_MS
+        end = 100 + LEASE_MS + MAX_CLOCK_DRIFT_MS
         self.assertEqual(["entry-1"], self.lacking(2, end - 1))
         self.assertEqual([], self.lacking(2, end))
 
@@ -235,7 +237,9 @@
         self.leader = self.elected(1_000)
         self.state.apply(2, change("b", 1, account("kunci")))
         self.assertEqual(["entry-1"], self.lacking(2, 100 + LEASE_MS))
-        self.assertEqual([], self.lacking(2, 1_000 + LEASE_MS + DRIFT_MS))
+        self.assertEqual(
+            [], self.lacking(2, 1_000 + LEASE_MS + MAX_CLOCK_DRIFT_MS)
+        )
 
     def test_a_lost_proposal_does_not_take_the_answer_of_its_resend(
         self,
@@ -250,7 +254,7 @@
         [lost] = commands
         assert isinstance(lost, leader.Propose)
         outcome = self.state.apply(2, lost.record)
-        answers = self.leader.applied(lost.record, outcome, 0)
+        answers = self.leader.answer_waiters(lost.record, outcome, 0)
         asks = [one.message.ask for one in answers if hasattr(one, "message")]
         self.assertIn(8, asks)
 
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -35,7 +35,7 @@
 
     def begin(self) -> None:
         """Begins with a system in which no plan has been made."""
-        self.state = control.Control()
+        self.state = control.ControlState()
         self.advice = items.Deployment(name="advice", targets=["berater"])
         self.change(self.advice, items.Account(name="a", key_sha256="0"))
         self.servers = [
@@ -43,7 +43,7 @@
             server("s2", running=2),
             server("s3", region="ch-west"),
         ]
-        self.usage = [plans.Usage("s1", "advice", "berater", 2, 3, 900)]
+        self.usage = [plans.ServerUsage("s1", "advice", "berater", 2, 3, 900)]
 
     def change(self, *upserts: items.Item, operator: str = "ben") -> None:
         """Makes an operator's change."""
@@ -63,9 +63,9 @@
         self.state.apply(0, changes.PlanMade(at_ms=0, plan=plan))
         return plan
 
-    def facts(self) -> plans.Facts:
+    def facts(self) -> plans.ClusterView:
         """Returns what is known now."""
-        return plans.Facts(
+        return plans.ClusterView(
             cfg=self.state.cfg,
             revision=self.state.revision,
             revision_of=self.state.revision_of,
@@ -119,7 +119,7 @@
         """
         self.made(plans.Move(deployment="advice", off=["s1"]))
         self.change(items.Account(name="other", key_sha256="1"))
-        kept = snapshot.load(snapshot.save(self.state))
+        kept = snapshot.decode_state(snapshot.encode_state(self.state))
         raised = items.Deployment(name="advice", targets=["berater"])
         self.change(raised)
         [problem] = self.act(changes.PlanConfirmed)
@@ -149,9 +149,9 @@
             self.act(changes.PlanConfirmed)
             for _ in range(steps):
                 self.advance()
-            saved = snapshot.save(self.state)
-            self.state = snapshot.load(saved)
-            self.assertEqual(saved, snapshot.save(self.state))
+            saved = snapshot.encode_state(self.state)
+            self.state = snapshot.decode_state(saved)
+            self.assertEqual(saved, snapshot.encode_state(self.state))
             run = self.state.plans["p"]
             ordered = len(run.ordered)
             if run.state is not plans.PlanState.DONE:
@@ -187,7 +187,7 @@
             (plans.Undrain(scope="server", name="s1"), "name"),
         ):
             made = drafts.make_plan("q", intent, "", self.facts())
-            assert isinstance(made, plans.Impossible)
+            assert isinstance(made, plans.InvalidIntent)
             self.assertTrue(made.problems[0].startswith(field))
 
 
