--- a/catkinpin/core/__init__.py
+++ b/catkinpin/core/__init__.py
@@ -1,5 +1,5 @@
-"""Deterministic decisions: events and a time in, typed commands out.
+"""Deterministic core: takes events and the time, returns typed commands.
 
-Nothing in this package performs I/O, reads a clock, logs or draws a random
-number from anything but a seeded generator that is handed in.
+Nothing in this package performs I/O, reads a clock or logs. Random numbers
+come only from a seeded generator that the caller passes.
 """
--- a/catkinpin/core/operations/__init__.py
+++ b/catkinpin/core/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration, plans, leases and orders of the operators."""
+"""Operators' configuration changes and plans, leases and engine orders."""
--- a/catkinpin/core/operations/changes.py
+++ b/catkinpin/core/operations/changes.py
@@ -1,4 +1,4 @@
-"""Messages and records of the control group."""
+"""Records and messages of the control group."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ProcessInfo(Message, frozen=True):
-    """One incarnation of a process of the system."""
+    """An incarnation of a process of the system."""
 
     process: str
     incarnation: str
@@ -19,11 +19,12 @@
 
 
 class ServerFacts(Message, frozen=True):
-    """What of a backend server must not be forgotten with a leader.
+    """Facts of a backend server that must survive a change of leader.
 
     Attributes:
+        leaving: whether the server asks for no new work.
         honours_fencing: whether it refuses orders with an old fencing token.
-        checks_sender: whether it checks who gives an order.
+        checks_sender: whether it checks who sent an order.
     """
 
     server: str
@@ -40,11 +41,12 @@
 
 
 class ConfigChanged(Message, frozen=True):
-    """Record: an operator's change, decided when it is applied.
+    """Record: an operator's change, accepted or refused when it is applied.
 
     Attributes:
-        content_digest: digest of the request, to tell a resend from another
-            request under the same id.
+        base_revision: revision that the operator's change starts from.
+        content_digest: digest of the request; distinguishes a resend from
+            another request with the same id.
     """
 
     at_ms: int
@@ -57,7 +59,7 @@
 
 
 class ProcessesChanged(Message, frozen=True):
-    """Record: processes that came, and incarnations that are gone."""
+    """Record: processes that joined and incarnations that are gone."""
 
     at_ms: int
     up: list[ProcessInfo] = []
@@ -65,18 +67,18 @@
 
 
 class ServersChanged(Message, frozen=True):
-    """Record: hard facts of backend servers that changed."""
+    """Record: new facts of backend servers."""
 
     at_ms: int
     servers: list[ServerFacts] = []
 
 
 class Quarantined(Message, frozen=True):
-    """Record: requests with this content crash servers; none may run.
+    """Record: requests with this content crash servers and must not run.
 
     Attributes:
         fingerprint: digest of the request's content.
-        reason: what was seen.
+        reason: what the crashed servers showed.
     """
 
     fingerprint: bytes
@@ -85,7 +87,7 @@
 
 
 class QuarantineLifted(Message, frozen=True):
-    """Record: an operator lets requests with this content run again."""
+    """Record: an operator allows requests with this content again."""
 
     fingerprint: bytes
     at_ms: int = 0
@@ -93,14 +95,14 @@
 
 
 class PlanMade(Message, frozen=True):
-    """Record: a plan that waits for its confirmation."""
+    """Record: a new plan, to be confirmed."""
 
     at_ms: int
     plan: Plan
 
 
 class PlanConfirmed(Message, frozen=True):
-    """Record: an operator confirms a plan; decided when it is applied."""
+    """Record: an operator confirms a plan; checked when it is applied."""
 
     at_ms: int
     plan_id: str
@@ -108,7 +110,7 @@
 
 
 class PlanAdvanced(Message, frozen=True):
-    """Record: a step of a plan is done."""
+    """Record: a step of a plan is complete."""
 
     at_ms: int
     plan_id: str
@@ -116,7 +118,7 @@
 
 
 class PlanStopped(Message, frozen=True):
-    """Record: an operator stops a plan where it stands."""
+    """Record: an operator stops a plan after its last completed step."""
 
     at_ms: int
     plan_id: str
@@ -124,7 +126,7 @@
 
 
 class PlanUndone(Message, frozen=True):
-    """Record: an operator takes a plan's changes back."""
+    """Record: an operator undoes a plan's changes."""
 
     at_ms: int
     plan_id: str
@@ -149,7 +151,7 @@
 
 
 class ConfigUpdate(Message, frozen=True):
-    """What leads from revision `base` to `revision`; `base` 0: all of it."""
+    """Changes from revision `base` to `revision`; all items if `base` is 0."""
 
     base: int
     revision: int
@@ -161,8 +163,8 @@
     """Confirms a revision and asks for a lease to serve under it.
 
     Attributes:
-        revision: the revision that the sender would serve under.
-        wants_update: whether it needs the newer one sent.
+        revision: the revision that the sender confirms.
+        wants_update: whether the answer shall contain a newer configuration.
     """
 
     ask: int
@@ -174,10 +176,11 @@
     """Answers `RenewLease`.
 
     Attributes:
-        revision: the revision in force.
-        lease_ms: how long the sender may serve under it, counted from when it
-            sent its request; 0 where it has not confirmed that revision.
-        update: what the sender lacks.
+        revision: the current revision.
+        lease_ms: how long the process may serve under that revision, counted
+            from when it sent its request; 0 if it gets no lease, because it
+            has not confirmed that revision or is not registered yet.
+        update: changes that the process has missed.
     """
 
     ask: int
@@ -187,7 +190,7 @@
 
 
 class Apply(Message, frozen=True):
-    """An operator's change of configuration."""
+    """Asks for a change of the configuration; `Applied` answers."""
 
     ask: int
     request_id: str
@@ -202,12 +205,12 @@
     """Answers `Apply`.
 
     Attributes:
-        accepted: whether this change became `revision`; else `revision`,
-            `operator`, `request_id` and `changed` are those of the change
-            that won.
-        reused: whether the request id stands for another request, which the
-            other fields describe.
-        changed: names of the items that the change touched.
+        accepted: whether this change became `revision`. If not, `revision`,
+            `operator`, `request_id` and `changed` describe the change that
+            was accepted before it.
+        reused: whether another request has used the request id before; the
+            other fields describe that request.
+        changed: kinds and names of the changed items.
     """
 
     ask: int
@@ -220,14 +223,18 @@
 
 
 class GetInForce(Message, frozen=True):
-    """Asks who does not serve under `revision` or a later one yet."""
+    """Asks which processes may still serve under a revision before this."""
 
     ask: int
     revision: int
 
 
 class UnderReplicated(Message, frozen=True):
-    """A live process that has not confirmed a revision."""
+    """A lease holder that has not confirmed a revision.
+
+    Attributes:
+        revision: newest revision that it has confirmed.
+    """
 
     process: str
     incarnation: str
@@ -236,7 +243,13 @@
 
 
 class InForce(Message, frozen=True):
-    """Answers `GetInForce`; in force where nobody lacks it."""
+    """Answers `GetInForce`.
+
+    Attributes:
+        revision: the current revision.
+        lacking: lease holders that have not confirmed the revision asked
+            about; it is in force once there are none.
+    """
 
     ask: int
     revision: int
@@ -244,7 +257,7 @@
 
 
 class MakePlan(Message, frozen=True):
-    """Asks for a plan; nothing changes before it is confirmed."""
+    """Asks for a plan; it has no effect until it is confirmed."""
 
     ask: int
     plan_id: str
@@ -253,10 +266,10 @@
 
 
 class PlanShown(Message, frozen=True):
-    """Answers what concerns a plan.
+    """Answers `MakePlan`, `ConfirmPlan`, `StopPlan` and `UndoPlan`.
 
     Attributes:
-        problems: why the wish was not carried out; empty: it was.
+        problems: why the request was refused; empty if it was carried out.
     """
 
     ask: int
@@ -267,7 +280,7 @@
 
 
 class ConfirmPlan(Message, frozen=True):
-    """Carries out a plan if its base still holds."""
+    """Asks to carry out a plan if its base is unchanged."""
 
     ask: int
     plan_id: str
@@ -275,7 +288,7 @@
 
 
 class StopPlan(Message, frozen=True):
-    """Stops a plan where it stands."""
+    """Asks to stop a plan after its last completed step."""
 
     ask: int
     plan_id: str
@@ -283,7 +296,7 @@
 
 
 class UndoPlan(Message, frozen=True):
-    """Takes a plan's changes back."""
+    """Asks to undo a plan's changes."""
 
     ask: int
     plan_id: str
@@ -291,7 +304,12 @@
 
 
 class Quarantine(Message, frozen=True):
-    """Asks the control leader to quarantine, or lift it for an operator."""
+    """Asks to quarantine a request's content or to lift its quarantine.
+
+    Attributes:
+        fingerprint: digest of the content.
+        lift: whether an operator lifts the quarantine.
+    """
 
     ask: int
     fingerprint: bytes
@@ -301,7 +319,7 @@
 
 
 class Done(Message, frozen=True):
-    """Answers that something was taken in."""
+    """Confirms a request that has no other answer."""
 
     ask: int
 
@@ -313,7 +331,7 @@
 
 
 class ProcessStatus(Message, frozen=True):
-    """A process as the control leader sees it."""
+    """Status of a registered process."""
 
     process: str
     incarnation: str
@@ -325,7 +343,7 @@
 
 
 class ServerStatus(Message, frozen=True):
-    """A backend server as the control leader sees it."""
+    """Status of a backend server."""
 
     server: str
     kind: str
@@ -339,7 +357,13 @@
 
 
 class Status(Message, frozen=True):
-    """Answers `GetStatus`."""
+    """Answers `GetStatus`.
+
+    Attributes:
+        revision: the current revision.
+        operator: operator who made it.
+        quarantined: reasons of quarantines by fingerprint in hex.
+    """
 
     ask: int
     revision: int
@@ -351,14 +375,14 @@
 
 
 class OrderOffer(Message, frozen=True):
-    """Asks an entry to carry an order to an engine."""
+    """Asks an entry to send an order of a plan to an engine."""
 
     plan_id: str
     step: int
 
 
 class OrderClaim(Message, frozen=True):
-    """Asks whether the order still stands, before it is sent."""
+    """Asks for the order and the permission to send it now."""
 
     ask: int
     plan_id: str
@@ -369,11 +393,11 @@
     """Answers `OrderClaim`.
 
     Attributes:
-        address: of the engine.
+        address: address of the engine.
         fence: fencing token of the order.
         body: the order, a JSON object.
-        valid_ms: within this time of sending the claim the engine must have
-            answered; 0 where the order no longer stands.
+        valid_ms: time within which the engine must answer, counted from when
+            the entry sent its claim; 0 if the order must not be sent.
     """
 
     ask: int
@@ -384,7 +408,12 @@
 
 
 class OrderResult(Message, frozen=True):
-    """Tells what the engine answered."""
+    """Reports the engine's answer to an order.
+
+    Attributes:
+        ok: whether the engine accepted the order.
+        text: its HTTP status and answer, or the error of the request.
+    """
 
     ask: int
     plan_id: str
--- a/catkinpin/core/operations/control.py
+++ b/catkinpin/core/operations/control.py
@@ -1,8 +1,9 @@
-"""State machine of the control group: what is rare and must not be lost.
+"""Replicated state machine of the control group.
 
-Every replica applies the same records in the same order. What was true when a
-record was proposed may have changed by then, so each is decided here, when it
-is applied.
+It holds the state that changes rarely and must survive any single process.
+Every replica applies the same records in the same order. The state may change
+between the proposal of a record and its application, so records are accepted
+or refused here, when they are applied.
 """
 
 from __future__ import annotations
@@ -23,25 +24,26 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# The first answer to a change is kept so long for those who send it again.
-# Later a resend finds its base revision passed, and is refused: nothing can
-# ever be applied twice.
+# How long the result of a change is kept to answer resends of its request. A
+# later resend is refused because its base revision is out of date, so no change
+# is ever applied twice.
 RESULT_RETENTION_MS = 24 * 3_600_000
-_TOMBSTONES = 10_000
-_PLANS_KEPT_MS = 7 * 24 * 3_600_000
-_NAMES_SHOWN = 20
+_MAX_TOMBSTONES = 10_000
+_PLAN_RETENTION_MS = 7 * 24 * 3_600_000
+_MAX_NAMES = 20  # in ChangeResult.changed
 
 
 @dataclasses.dataclass(frozen=True)
 class ChangeResult:
-    """Outcome of an operator's change, the same however often it is sent.
+    """Result of an operator's change; each resend gets the same one.
 
     Attributes:
-        revision: the new revision, or the one that stands in the way.
-        operator: who made that revision.
-        request_id: by which request.
-        changed: names of the items that it touched.
-        reused: whether the request id stands for another request.
+        revision: revision that the change made or, if it was refused, the
+            current revision, which differs from its base.
+        operator: operator who made that revision.
+        request_id: request that made that revision.
+        changed: kinds and names of the items changed at that revision.
+        reused: whether another request has used the same request id before.
     """
 
     accepted: bool
@@ -56,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ItemVersion:
-    """An item as of its last change; None where it was removed."""
+    """An item after its last change; a tombstone (None) if it was removed."""
 
     item: Item | None
     revision: int
@@ -65,51 +67,62 @@
 
 @dataclasses.dataclass
 class PlanRun:
-    """A plan and how far it is.
+    """A plan and its progress.
 
     Attributes:
-        step: steps done.
-        before: items as they were, by key, for undo.
-        wrote: revision that the plan gave to each item it changed.
-        fence: fencing token of the order that is under way.
-        ordered: orders that an engine may have carried out.
-        operator: who confirmed it, or took it back.
+        step: number of completed steps, which is the index of the current one.
+        steps: steps of the plan or, during an undo, of the undo.
+        items_before: items by key before the plan changed them, for an undo.
+        written_revisions: revision of the plan's last change of each item.
+        fencing_token: fencing token of the current order.
+        issued_orders: orders that an engine may have carried out.
+        operator: operator who confirmed or undid the plan.
     """
 
     plan: plans.Plan
     state: PlanState = PlanState.PROPOSED
     step: int = 0
     steps: list[plans.Step] = dataclasses.field(default_factory=list)
-    before: dict[ItemKey, Item | None] = dataclasses.field(default_factory=dict)
-    wrote: dict[ItemKey, int] = dataclasses.field(default_factory=dict)
-    fence: int = 0
-    ordered: list[plans.OrderStep] = dataclasses.field(default_factory=list)
+    items_before: dict[ItemKey, Item | None] = dataclasses.field(
+        default_factory=dict
+    )
+    written_revisions: dict[ItemKey, int] = dataclasses.field(
+        default_factory=dict
+    )
+    fencing_token: int = 0
+    issued_orders: list[plans.OrderStep] = dataclasses.field(
+        default_factory=list
+    )
     at_ms: int = 0
     operator: str = ""
 
     @property
-    def active(self) -> bool:
-        """Whether steps are being carried out."""
+    def is_active(self) -> bool:
+        """Whether the plan is running or being undone."""
         return self.state in (PlanState.RUNNING, PlanState.UNDOING)
 
-    def current(self) -> plans.Step | None:
-        """Returns the step under way, or None."""
-        if not self.active or self.step >= len(self.steps):
+    def current_step(self) -> plans.Step | None:
+        """Returns the step in progress, or None if no step is."""
+        if not self.is_active or self.step >= len(self.steps):
             return None
         return self.steps[self.step]
 
 
 class ControlState:
-    """The control group's state; its revision only ever rises.
+    """State of the control group.
 
     Attributes:
-        items: every item by key, in the order of their last change; removed
-            ones stay as tombstones, so that differences can be computed.
-        oldest_base: the oldest revision that differences can start from.
-        processes: by incarnation.
-        servers: hard facts by server name.
-        quarantine: reason by fingerprint.
-        fence: the last fencing token handed out.
+        revision: revision of the configuration; it never decreases.
+        now_ms: latest time of the applied records.
+        items: every item by key, ordered by last change. Removed items stay as
+            tombstones, from which `update_since` computes what was removed.
+        oldest_base: oldest revision that an incremental update can start from.
+        last_change: result of the last accepted change.
+        change_results: results of recent changes by request id, oldest first.
+        processes: registered processes by incarnation.
+        servers: facts of backend servers by server name.
+        quarantine: reasons of quarantines by the content's fingerprint.
+        last_fencing_token: last fencing token that an order got.
     """
 
     def __init__(self) -> None:
@@ -119,12 +132,12 @@
         self.oldest_base = 0
         self._cfg: Configuration | None = None
         self._tombstones = 0
-        self.last = ChangeResult(True, 0, "")
-        self.results: dict[str, ChangeResult] = {}
+        self.last_change = ChangeResult(True, 0, "")
+        self.change_results: dict[str, ChangeResult] = {}
         self.processes: dict[str, changes.ProcessInfo] = {}
         self.servers: dict[str, changes.ServerFacts] = {}
         self.quarantine: dict[bytes, str] = {}
-        self.fence = 0
+        self.last_fencing_token = 0
         self.plans: dict[str, PlanRun] = {}
 
     def apply(
@@ -133,13 +146,14 @@
         """Applies a committed record.
 
         Returns:
-            The outcome of a `ConfigChanged`; for a plan's record, why it could
-            not be carried out (empty: it was); None for all others.
+            The result of a `ConfigChanged`; the problems that prevented a
+            plan's record from being carried out, empty if none did; None for
+            all other records.
         """
         self.now_ms = max(self.now_ms, record.at_ms)
         match record:
             case changes.ConfigChanged():
-                return self._config_changed(record)
+                return self._apply_change(record)
             case changes.ProcessesChanged():
                 for info in record.up:
                     self.processes[info.incarnation] = info
@@ -153,12 +167,12 @@
             case changes.QuarantineLifted():
                 self.quarantine.pop(record.fingerprint, None)
             case _:
-                return self._plan_record(record)
+                return self._apply_plan_record(record)
         return None
 
     @property
     def cfg(self) -> Configuration:
-        """The configuration of this revision; built when first asked for."""
+        """The configuration at this revision; built at its first use."""
         if self._cfg is None:
             self._cfg = Configuration(
                 version.item
@@ -170,18 +184,21 @@
     def restore_items(
         self, pairs: Iterable[tuple[ItemKey, ItemVersion]]
     ) -> None:
-        """Replaces all items by those of a snapshot."""
+        """Replaces all items with those of a snapshot."""
         self.items = dict(pairs)
         self._tombstones = sum(v.item is None for v in self.items.values())
         self._cfg = None
 
     def revision_of(self, key: ItemKey) -> int:
-        """Returns the revision of an item's last change; 0: never there."""
+        """Returns the revision of an item's last change, 0 if it has none."""
         version = self.items.get(key)
         return version.revision if version is not None else 0
 
     def update_since(self, base: int) -> changes.ConfigUpdate:
-        """Returns what leads from a revision to the newest one."""
+        """Returns the update from a revision to the current one.
+
+        It holds all items if `base` is 0 or older than `oldest_base`.
+        """
         if base < max(1, self.oldest_base):
             return changes.ConfigUpdate(
                 base=0, revision=self.revision, upserts=self.cfg.items()
@@ -203,38 +220,41 @@
             removes=removes,
         )
 
-    def _config_changed(self, record: changes.ConfigChanged) -> ChangeResult:
-        self._forget_old_results()
-        known = self.results.get(record.request_id)
-        if known is not None:
-            if known.content_digest != record.content_digest:
-                return dataclasses.replace(known, accepted=False, reused=True)
-            return known
-        result = self._decide(record)
-        self.results[record.request_id] = result
+    def _apply_change(self, record: changes.ConfigChanged) -> ChangeResult:
+        self._drop_expired_results()
+        earlier = self.change_results.get(record.request_id)
+        if earlier is not None:
+            if earlier.content_digest != record.content_digest:
+                return dataclasses.replace(earlier, accepted=False, reused=True)
+            return earlier
+        result = self._apply_new_change(record)
+        self.change_results[record.request_id] = result
         return result
 
-    def _forget_old_results(self) -> None:
+    def _drop_expired_results(self) -> None:
         oldest = self.now_ms - RESULT_RETENTION_MS
-        while self.results:
-            request_id, result = next(iter(self.results.items()))
+        while self.change_results:
+            request_id, result = next(iter(self.change_results.items()))
             if result.at_ms >= oldest:
                 return
-            del self.results[request_id]
+            del self.change_results[request_id]
 
-    def _decide(self, record: changes.ConfigChanged) -> ChangeResult:
-        # Two operators who both start from the same revision would overwrite
-        # each other unseen; the second one learns who was first instead.
+    def _apply_new_change(self, record: changes.ConfigChanged) -> ChangeResult:
+        # Of two operators who start from the same revision, the second would
+        # silently overwrite the first one's change. So the second change is
+        # refused, and the result names the first one.
         if record.base_revision != self.revision:
             return dataclasses.replace(
-                self.last,
+                self.last_change,
                 accepted=False,
                 revision=self.revision,
                 at_ms=self.now_ms,
                 content_digest=record.content_digest,
             )
-        names = self._change(record.upserts, record.removes, record.operator)
-        self.last = ChangeResult(
+        names = self._create_revision(
+            record.upserts, record.removes, record.operator
+        )
+        self.last_change = ChangeResult(
             True,
             self.revision,
             record.operator,
@@ -243,12 +263,12 @@
             at_ms=self.now_ms,
             content_digest=record.content_digest,
         )
-        return self.last
+        return self.last_change
 
-    def _change(
+    def _create_revision(
         self, upserts: Iterable[Item], removes: Iterable[ItemKey], operator: str
     ) -> tuple[str, ...]:
-        """Makes the next revision; returns the names of what it touches."""
+        """Creates the next revision; returns the names of the changed items."""
         self.revision += 1
         pairs: list[tuple[ItemKey, Item | None]] = []
         pairs += [(key_of(item), item) for item in upserts]
@@ -258,41 +278,41 @@
             self._tombstones -= old is not None and old.item is None
             self._tombstones += item is None
             self.items[key] = ItemVersion(item, self.revision, operator)
-        self._forget_old_tombstones()
+        self._drop_old_tombstones()
         self._cfg = None
-        shown = [f"{key.kind} {key.name}" for key, _ in pairs[:_NAMES_SHOWN]]
-        if len(pairs) > _NAMES_SHOWN:
-            shown.append(f"and {len(pairs) - _NAMES_SHOWN} more")
+        shown = [f"{key.kind} {key.name}" for key, _ in pairs[:_MAX_NAMES]]
+        if len(pairs) > _MAX_NAMES:
+            shown.append(f"and {len(pairs) - _MAX_NAMES} more")
         return tuple(shown)
 
-    def _forget_old_tombstones(self) -> None:
-        if self._tombstones <= _TOMBSTONES:
+    def _drop_old_tombstones(self) -> None:
+        if self._tombstones <= _MAX_TOMBSTONES:
             return
         removed = [k for k, v in self.items.items() if v.item is None]
         for key in removed[: len(removed) // 2]:
             self.oldest_base = self.items.pop(key).revision
             self._tombstones -= 1
 
-    def _plan_record(self, record: changes.ControlRecord) -> list[str]:
+    def _apply_plan_record(self, record: changes.ControlRecord) -> list[str]:
         match record:
             case changes.PlanMade():
-                return self._plan_made(record)
+                return self._add_plan(record)
             case changes.PlanConfirmed():
-                return self._plan_confirmed(record)
+                return self._confirm_plan(record)
             case changes.PlanAdvanced():
-                return self._plan_advanced(record)
+                return self._advance_plan(record)
             case changes.PlanStopped():
-                return self._plan_stopped(record)
+                return self._stop_plan(record)
             case changes.PlanUndone():
-                return self._plan_undone(record)
+                return self._undo_plan(record)
         return []
 
-    def _plan_made(self, record: changes.PlanMade) -> list[str]:
-        oldest = self.now_ms - _PLANS_KEPT_MS
+    def _add_plan(self, record: changes.PlanMade) -> list[str]:
+        oldest = self.now_ms - _PLAN_RETENTION_MS
         self.plans = {
             plan_id: run
             for plan_id, run in self.plans.items()
-            if run.active or run.at_ms >= oldest
+            if run.is_active or run.at_ms >= oldest
         }
         plan = record.plan
         if plan.plan_id not in self.plans:
@@ -301,7 +321,7 @@
             )
         return []
 
-    def _plan_confirmed(self, record: changes.PlanConfirmed) -> list[str]:
+    def _confirm_plan(self, record: changes.PlanConfirmed) -> list[str]:
         run = self.plans.get(record.plan_id)
         if run is None:
             return [f"plan {record.plan_id!r} is not known"]
@@ -309,20 +329,20 @@
             return []
         if run.state is not PlanState.PROPOSED:
             return [f"the plan is {run.state}; make a new one"]
-        problems = self._changed_since(
+        problems = self._find_conflicts(
             {base.key: base.revision for base in run.plan.base}
         )
         if problems:
             return problems
         run.state = PlanState.RUNNING
         run.operator = record.operator or run.plan.operator
-        self._run_changes(run)
+        self._run_immediate_steps(run)
         return []
 
-    def _changed_since(self, known: dict[ItemKey, int]) -> list[str]:
-        """Returns which items have changed since, when and by whom."""
+    def _find_conflicts(self, expected: dict[ItemKey, int]) -> list[str]:
+        """Returns a problem for each item that has another revision."""
         problems = []
-        for key, revision in known.items():
+        for key, revision in expected.items():
             version = self.items.get(key)
             if version is not None and version.revision != revision:
                 who = version.operator or "an operator"
@@ -332,33 +352,33 @@
                 )
         return problems
 
-    def _run_changes(self, run: PlanRun) -> None:
-        """Carries out steps that are done at once, up to one that is not."""
+    def _run_immediate_steps(self, run: PlanRun) -> None:
+        """Runs changes up to the next wait or order, which gets a token."""
         run.at_ms = self.now_ms
         while run.step < len(run.steps):
             step = run.steps[run.step]
             if isinstance(step, plans.OrderStep):
-                self.fence += 1
-                run.fence = self.fence
+                self.last_fencing_token += 1
+                run.fencing_token = self.last_fencing_token
                 if run.state is PlanState.RUNNING:
-                    run.ordered.append(step)
+                    run.issued_orders.append(step)
             if not isinstance(step, plans.ChangeStep):
                 return
-            self._change_for(run, step)
+            self._run_change_step(run, step)
             run.step += 1
         undoing = run.state is PlanState.UNDOING
         run.state = PlanState.UNDONE if undoing else PlanState.DONE
 
-    def _change_for(self, run: PlanRun, step: plans.ChangeStep) -> None:
+    def _run_change_step(self, run: PlanRun, step: plans.ChangeStep) -> None:
         keys = [key_of(item) for item in step.upserts] + list(step.removes)
         for key in keys:
             version = self.items.get(key)
             item = version.item if version is not None else None
-            run.before.setdefault(key, item)
-        names = self._change(step.upserts, step.removes, run.operator)
+            run.items_before.setdefault(key, item)
+        names = self._create_revision(step.upserts, step.removes, run.operator)
         for key in keys:
-            run.wrote[key] = self.revision
-        self.last = ChangeResult(
+            run.written_revisions[key] = self.revision
+        self.last_change = ChangeResult(
             True,
             self.revision,
             run.operator,
@@ -367,15 +387,15 @@
             at_ms=self.now_ms,
         )
 
-    def _plan_advanced(self, record: changes.PlanAdvanced) -> list[str]:
+    def _advance_plan(self, record: changes.PlanAdvanced) -> list[str]:
         run = self.plans.get(record.plan_id)
-        if run is None or run.current() is None or run.step != record.step:
+        if run is None or run.current_step() is None or run.step != record.step:
             return []
         run.step += 1
-        self._run_changes(run)
+        self._run_immediate_steps(run)
         return []
 
-    def _plan_stopped(self, record: changes.PlanStopped) -> list[str]:
+    def _stop_plan(self, record: changes.PlanStopped) -> list[str]:
         run = self.plans.get(record.plan_id)
         if run is None:
             return [f"plan {record.plan_id!r} is not known"]
@@ -386,32 +406,36 @@
             return [f"the plan is {run.state}"]
         return []
 
-    def _plan_undone(self, record: changes.PlanUndone) -> list[str]:
+    def _undo_plan(self, record: changes.PlanUndone) -> list[str]:
         run = self.plans.get(record.plan_id)
         if run is None:
             return [f"plan {record.plan_id!r} is not known"]
         if run.state in (PlanState.UNDOING, PlanState.UNDONE):
             return []
-        problems = self._changed_since(run.wrote)
+        problems = self._find_conflicts(run.written_revisions)
         if problems:
             return problems
         run.state = PlanState.UNDOING
         run.step = 0
-        run.steps = self._reversed(run)
+        run.steps = self._build_undo_steps(run)
         run.operator = record.operator or run.operator
-        self._run_changes(run)
+        self._run_immediate_steps(run)
         return []
 
-    def _reversed(self, run: PlanRun) -> list[plans.Step]:
-        upserts = [item for item in run.before.values() if item is not None]
-        removes = [key for key, item in run.before.items() if item is None]
+    def _build_undo_steps(self, run: PlanRun) -> list[plans.Step]:
+        upserts = [
+            item for item in run.items_before.values() if item is not None
+        ]
+        removes = [
+            key for key, item in run.items_before.items() if item is None
+        ]
         steps: list[plans.Step] = []
-        if run.before:
+        if run.items_before:
             text = "take the plan's changes back"
             steps.append(
                 plans.ChangeStep(text=text, upserts=upserts, removes=removes)
             )
-        for order in reversed(run.ordered):
+        for order in reversed(run.issued_orders):
             steps.append(
                 plans.OrderStep(
                     text=f"take back: {order.text}",
--- a/catkinpin/core/operations/deployments.py
+++ b/catkinpin/core/operations/deployments.py
@@ -1,4 +1,4 @@
-"""What operators decide: accounts, deployments, drains, as checked values."""
+"""Operators' configuration: accounts, deployments and drains."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 SCOPE_HOST = "host"
 SCOPE_DOMAIN = "domain"
 SCOPE_REGION = "region"
-# Stands for accounts that no deployment names; no account has this name.
-_ANYONE = ""
+# Key for the accounts that no deployment names; no account has this name.
+_UNNAMED_ACCOUNTS = ""
 SCOPES = (SCOPE_SERVER, SCOPE_HOST, SCOPE_DOMAIN, SCOPE_REGION)
 
 
 class Limits(Message, frozen=True):
-    """Bounds on what an account or a deployment has at work; 0: no bound.
+    """Limits on the calls of an account or a deployment; 0 means no limit.
 
     Attributes:
-        calls_running: calls that hold a backend server at one time.
-        calls_per_second: calls admitted a second, averaged.
-        queue: calls that wait for a backend server at one time.
+        calls_running: calls that occupy a backend server at the same time.
+        calls_per_second: calls admitted per second on average.
+        queue: calls that wait for a backend server at the same time.
     """
 
     calls_running: int = 0
@@ -40,8 +40,8 @@
     """A caller's account.
 
     Attributes:
-        key_sha256: SHA-256 of the account's API key, in hex; the key itself is
-            nowhere stored.
+        key_sha256: SHA-256 of the account's API key in hex; the key itself is
+            not stored anywhere.
     """
 
     name: str
@@ -50,10 +50,13 @@
 
 
 class ServerSet(Message, frozen=True):
-    """Backend servers by name, failure domain or region; empty: all.
+    """Backend servers by name, failure domain or region.
+
+    A server that matches any of them belongs to the set; without names,
+    failure domains and regions, all servers do.
 
     Attributes:
-        off: names of servers that are taken off whatever else says.
+        off: names of servers that never belong to the set.
     """
 
     names: list[str] = []
@@ -61,7 +64,7 @@
     regions: list[str] = []
     off: list[str] = []
 
-    def holds(self, report: ServerReport) -> bool:
+    def contains(self, report: ServerReport) -> bool:
         """Returns whether the server belongs to the set."""
         if report.server in self.off:
             return False
@@ -75,20 +78,22 @@
 
 
 class Deployment(Message, frozen=True):
-    """Which programs may run, where, under which budget and priority.
+    """Who may use which targets, on which servers and within which limits.
 
     Attributes:
         targets: names of models and services.
-        accounts: accounts whose programs may run; empty: all.
-        versions: version by target, for targets that have one.
-        servers: where its programs' calls may run.
-        budget_tokens: tokens that one program with its sub-agents may spend.
-        budget_turns: calls that one program may make; 0: no bound.
-        budget_seconds: time from first call to last; 0: no bound.
-        idle_timeout_seconds: a program without a call for so long has ended;
-            0: the default.
-        priority: higher goes first.
+        accounts: accounts that may use the deployment; empty for all.
+        versions: versions by target, for targets that have one.
+        servers: backend servers that may run its programs' calls.
+        budget_tokens: tokens that a program and its sub-agents may spend.
+        budget_turns: calls that a program may make; 0 for no limit.
+        budget_seconds: time from a program's first call to its last; 0 for no
+            limit.
+        idle_timeout_seconds: time without a call after which a program has
+            ended; 0 for the default.
+        priority: calls with a higher priority go first.
         interactive: whether a person waits for the answers.
+        limits: limits on the calls of the deployment's programs.
     """
 
     name: str
@@ -106,32 +111,33 @@
 
 
 class Drain(Message, frozen=True):
-    """Backend servers that get no new work from any deployment.
+    """Excludes backend servers from new work of all deployments.
 
     Attributes:
-        scope: one of `SCOPES`; `host` is the IP of the server's address.
-        name: the server, host, failure domain or region.
+        scope: one of `SCOPES`.
+        name: name of the server, failure domain or region, or the host's IP
+            address.
     """
 
     scope: str
     name: str
 
     def covers(self, report: ServerReport) -> bool:
-        """Returns whether the server is drained by this."""
-        place = {
+        """Returns whether this drain applies to the server."""
+        name_by_scope = {
             SCOPE_SERVER: report.server,
             SCOPE_HOST: parse_host(report.address),
             SCOPE_DOMAIN: report.domain,
             SCOPE_REGION: report.region,
         }
-        return place.get(self.scope) == self.name
+        return name_by_scope.get(self.scope) == self.name
 
 
 Item = Account | Deployment | Drain
 
 
 class ItemKey(Message, frozen=True):
-    """Names an item of the configuration."""
+    """Identifies an item of the configuration."""
 
     kind: str
     name: str
@@ -151,18 +157,21 @@
 @functools.lru_cache(maxsize=4096)
 def parse_host(address: str) -> str:
     """Returns the IP in an address such as `http://10.0.0.1:80`."""
-    place = address.rpartition("//")[2].partition("/")[0]
-    return place.rpartition(":")[0].strip("[]")
+    host_port = address.rpartition("//")[2].partition("/")[0]
+    return host_port.rpartition(":")[0].strip("[]")
 
 
 class Configuration:
-    """Everything operators decide, at one revision; never changed in place.
+    """Operators' configuration at one revision; immutable.
+
+    Args:
+        items: accounts, deployments and drains.
 
     Attributes:
-        accounts: by name.
-        deployments: in the order of their names; the first that fits a call
-            decides about it.
-        drains: what gets no new work.
+        accounts: accounts by name.
+        deployments: deployments ordered by name; the first one that matches a
+            call applies to it.
+        drains: drains that apply now.
     """
 
     def __init__(self, items: Iterable[Item] = ()) -> None:
@@ -178,7 +187,7 @@
                 case Drain():
                     self.drains.append(item)
         self.deployments.sort(key=lambda deployment: deployment.name)
-        self._places: dict[str, list[int]] | None = None
+        self._by_account: dict[str, list[int]] | None = None
         self._by_name = {one.name: one for one in self.deployments}
 
     def items(self) -> list[Item]:
@@ -188,7 +197,7 @@
     def with_changes(
         self, upserts: Iterable[Item], removes: Iterable[ItemKey]
     ) -> Configuration:
-        """Returns a configuration with items replaced and removed."""
+        """Returns a new configuration with items replaced and removed."""
         items = {key_of(item): item for item in self.items()}
         for key in removes:
             items.pop(key, None)
@@ -201,52 +210,59 @@
         return self._by_name.get(name)
 
     def deployment_for(self, account: str, target: str) -> Deployment | None:
-        """Returns the deployment that lets `account` use `target`."""
+        """Returns the first deployment that lets `account` use `target`."""
         if account not in self.accounts:
             return None
-        if self._places is None:
-            self._places = self._index()
-        for place in self._places.get(account, self._places[_ANYONE]):
-            if target in self.deployments[place].targets:
-                return self.deployments[place]
+        if self._by_account is None:
+            self._by_account = self._index_by_account()
+        for index in self._by_account.get(
+            account, self._by_account[_UNNAMED_ACCOUNTS]
+        ):
+            if target in self.deployments[index].targets:
+                return self.deployments[index]
         return None
 
-    def _index(self) -> dict[str, list[int]]:
-        """Returns, by account, the places of the deployments open to it.
+    def _index_by_account(self) -> dict[str, list[int]]:
+        """Returns the indexes of the deployments that each account may use.
 
-        A replica asks for each call; going through hundreds of deployments
-        with all their accounts would cost it a tenth of a millisecond.
+        A replica looks up the deployment of every call. Searching hundreds of
+        deployments with all their accounts takes a tenth of a millisecond.
         """
         for_all = [
-            place
-            for place, deployment in enumerate(self.deployments)
+            index
+            for index, deployment in enumerate(self.deployments)
             if not deployment.accounts
         ]
         named: dict[str, set[int]] = collections.defaultdict(set)
-        for place, deployment in enumerate(self.deployments):
+        for index, deployment in enumerate(self.deployments):
             for account in deployment.accounts:
-                named[account].add(place)
+                named[account].add(index)
         found = {
-            account: sorted(places.union(for_all))
-            for account, places in named.items()
+            account: sorted(indexes.union(for_all))
+            for account, indexes in named.items()
         }
-        found[_ANYONE] = for_all
+        found[_UNNAMED_ACCOUNTS] = for_all
         return found
 
-    def drained(self, report: ServerReport) -> bool:
-        """Returns whether the server gets no new work from anyone."""
+    def is_drained(self, report: ServerReport) -> bool:
+        """Returns whether a drain applies to the server."""
         return any(drain.covers(report) for drain in self.drains)
 
     def is_place_drained(self, host: str, domain: str, region: str) -> bool:
         """Returns whether a host, its failure domain or region is drained."""
-        place = {SCOPE_HOST: host, SCOPE_DOMAIN: domain, SCOPE_REGION: region}
+        name_by_scope = {
+            SCOPE_HOST: host,
+            SCOPE_DOMAIN: domain,
+            SCOPE_REGION: region,
+        }
         return any(
-            place.get(drain.scope) == drain.name for drain in self.drains
+            name_by_scope.get(drain.scope) == drain.name
+            for drain in self.drains
         )
 
     def allows(self, deployment: str, report: ServerReport) -> bool:
-        """Returns whether the deployment's calls may go to the server now."""
+        """Returns whether the server may take new calls of the deployment."""
         found = self._by_name.get(deployment)
-        if found is None or self.drained(report):
+        if found is None or self.is_drained(report):
             return False
-        return found.servers.holds(report)
+        return found.servers.contains(report)
--- a/catkinpin/core/operations/drafts.py
+++ b/catkinpin/core/operations/drafts.py
@@ -186,7 +186,7 @@
     on: list[str] = []
     for target in found.targets:
         serving = [r for r in view.servers if target in r.serves]
-        used = [r.server for r in serving if found.servers.holds(r)]
+        used = [r.server for r in serving if found.servers.contains(r)]
         spare = [r.server for r in serving if r.server in found.servers.off]
         # The servers that hold the fewest tokens go first: the least is
         # computed again.
@@ -214,7 +214,7 @@
     serving = sorted(
         report.server
         for report in view.servers
-        if intent.target in report.serves and found.servers.holds(report)
+        if intent.target in report.serves and found.servers.contains(report)
     )
     versions = {**found.versions, intent.target: intent.version}
     changed = msgspec.structs.replace(found, versions=versions)
--- a/catkinpin/core/operations/leader.py
+++ b/catkinpin/core/operations/leader.py
@@ -1,4 +1,4 @@
-"""What only the control group's leader does: leases, plans, orders."""
+"""Leader of the control group: grants leases, makes plans, offers orders."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
     from catkinpin.core.operations.control import ControlState, PlanRun
 
-# How long a plan's servers must have been without calls: attempts that another
-# process has just granted reach this one's log by then.
-_SETTLE_MS = 1_000
-_CHECK_EVERY_MS = 500
+# Least time without calls before a plan's servers count as idle. Attempts that
+# another process has just granted reach this process's log within this time.
+_MIN_IDLE_MS = 1_000
+_WAIT_CHECK_INTERVAL_MS = 500
 
 
 @dataclasses.dataclass(frozen=True)
@@ -42,12 +42,12 @@
 
 
 class ControlLeader:
-    """Leads the control group; its state is lost with the leadership.
+    """Leader's part of the control group; a new leader starts without it.
 
     Args:
         state: the replicated state, read only.
-        now_ms: monotonic time of taking office.
-        look: returns what is known of servers and programs now.
+        now_ms: monotonic time of the election.
+        get_view: returns the current servers and programs.
 
     Attributes:
         connected: processes with a stream to this one, by incarnation.
@@ -57,49 +57,49 @@
         self,
         state: ControlState,
         now_ms: int,
-        look: Callable[[], plans.ClusterView],
+        get_view: Callable[[], plans.ClusterView],
     ) -> None:
         self._state = state
-        self._look = look
+        self._get_view = get_view
         self.leases = Leases(state.processes.values(), now_ms)
         self.connected: dict[str, changes.ProcessInfo] = {}
         self._orders = Orders(state, now_ms)
         self._waiters = RecordWaiters()
-        self._arriving: dict[str, Waiter] = {}
-        self._empty_since: dict[str, int] = {}
-        self._looked_ms = now_ms
+        self._registering: dict[str, Waiter] = {}
+        self._idle_since_ms: dict[str, int] = {}
+        self._last_check_ms = now_ms
 
     def handle(
         self, info: changes.ProcessInfo, message: Any, now_ms: int, wall_ms: int
     ) -> list[Command]:
-        """Takes a process's message."""
+        """Handles a message from a process."""
         match message:
             case changes.RenewLease():
-                return self._renew(info, message, now_ms)
+                return self._renew_lease(info, message, now_ms)
             case changes.Apply():
-                return self._apply(info, message, wall_ms)
+                return self._propose_change(info, message, wall_ms)
             case changes.GetInForce():
-                return [self._in_force(info, message, now_ms)]
+                return [self._in_force_reply(info, message, now_ms)]
             case changes.MakePlan():
                 return self._make_plan(info, message, wall_ms)
             case changes.ConfirmPlan():
-                return self._confirm(info, message, wall_ms)
+                return self._confirm_plan(info, message, wall_ms)
             case changes.StopPlan() | changes.UndoPlan():
                 return self._stop_or_undo(info, message, wall_ms)
             case changes.Quarantine():
-                return self._quarantine(info, message, wall_ms)
+                return self._propose_quarantine(info, message, wall_ms)
             case changes.GetStatus():
-                return [self._status(info, message, now_ms)]
+                return [self._status_reply(info, message, now_ms)]
             case changes.OrderClaim():
-                lease = self._orders.claim(message, now_ms)
+                lease = self._orders.grant_claim(message, now_ms)
                 return [Send(info.incarnation, lease)]
             case changes.OrderResult():
-                return self._order_result(info, message, wall_ms)
+                return self._handle_order_result(info, message, wall_ms)
         return []
 
     def redirect_waiters(self) -> list[Command]:
-        """Sends those who wait to whoever leads next."""
-        waiters = [*self._waiters.all(), *self._arriving.values()]
+        """Answers all waiting processes that this replica no longer leads."""
+        waiters = [*self._waiters.all_waiters(), *self._registering.values()]
         return [
             Send(
                 waiter.incarnation,
@@ -113,12 +113,12 @@
     def answer_waiters(
         self, record: changes.ControlRecord, outcome: Any, now_ms: int
     ) -> list[Command]:
-        """Answers those who wait for a record that is now committed."""
+        """Answers the processes that wait for a committed record."""
         match record:
             case changes.ConfigChanged():
                 commands = self._answer_change(record, outcome)
             case changes.ProcessesChanged():
-                commands = self._answer_arrivals(record, now_ms)
+                commands = self._answer_registrations(record, now_ms)
             case changes.Quarantined() | changes.QuarantineLifted():
                 key = record.fingerprint.hex()
                 commands = [
@@ -137,9 +137,9 @@
         return commands
 
     def push_update(self, before: int) -> list[Command]:
-        """Sends what changed since revision `before` to all lease holders.
+        """Sends the update from `before` to the processes at that revision.
 
-        Who confirmed an older one gets what it lacks when it renews.
+        A process at an older revision gets its update when it renews its lease.
         """
         update = self._state.update_since(before)
         return [
@@ -149,37 +149,37 @@
         ]
 
     def tick(self, now_ms: int, wall_ms: int) -> list[Command]:
-        """Registers arrivals in one record, and carries plans on."""
+        """Registers new processes in one record and advances plans."""
         commands: list[Command] = []
         up = [
             self.connected[incarnation]
-            for incarnation in self._arriving
+            for incarnation in self._registering
             if incarnation in self.connected
         ]
-        gone = self.leases.gone(now_ms)
+        gone = self.leases.remove_expired(now_ms)
         if up or gone:
             record = changes.ProcessesChanged(at_ms=wall_ms, up=up, gone=gone)
             commands.append(Propose(record))
-        for offer in self._orders.due(now_ms):
-            entry = self._entry_near(offer)
+        for offer in self._orders.take_due_offers(now_ms):
+            entry = self._choose_entry(offer)
             if entry is not None:
                 commands.append(Send(entry, offer))
-        if now_ms - self._looked_ms >= _CHECK_EVERY_MS:
-            self._looked_ms = now_ms
-            commands += self._advance(now_ms, wall_ms)
+        if now_ms - self._last_check_ms >= _WAIT_CHECK_INTERVAL_MS:
+            self._last_check_ms = now_ms
+            commands += self._advance_idle_plans(now_ms, wall_ms)
         return commands
 
     def propose_server_facts(
         self, facts: list[changes.ServerFacts], wall_ms: int
     ) -> list[Command]:
-        """Registers hard facts of servers where they differ from the log."""
+        """Proposes the server facts that differ from the replicated ones."""
         known = self._state.servers
         new = [one for one in facts if known.get(one.server) != one]
         if not new:
             return []
         return [Propose(changes.ServersChanged(at_ms=wall_ms, servers=new))]
 
-    def _renew(
+    def _renew_lease(
         self, info: changes.ProcessInfo, renew: changes.RenewLease, now_ms: int
     ) -> list[Command]:
         self.connected[info.incarnation] = info
@@ -188,19 +188,17 @@
         if renew.revision == current and current > 0:
             if self.leases.renew(info.incarnation, current, now_ms):
                 lease = changes.Lease(
-                    ask=renew.ask,
-                    revision=current,
-                    lease_ms=LEASE_MS,
+                    ask=renew.ask, revision=current, lease_ms=LEASE_MS
                 )
                 return [Send(info.incarnation, lease)]
-            # A lease that the log knows nothing of would be forgotten with
-            # this leader, and the next one would call a change in force while
-            # its holder still serves under the old configuration.
-            self._arriving[info.incarnation] = Waiter(
+            # The process must be in the log before it gets a lease. The next
+            # leader would not know of the lease otherwise, and report a change
+            # as in force while the holder serves under the old configuration.
+            self._registering[info.incarnation] = Waiter(
                 info.incarnation, renew.ask
             )
             return []
-        self.leases.confirmed(info.incarnation, renew.revision)
+        self.leases.record_revision(info.incarnation, renew.revision)
         if renew.wants_update and renew.revision < current:
             update = self._state.update_since(renew.revision)
             lease = changes.Lease(
@@ -208,22 +206,22 @@
             )
         return [Send(info.incarnation, lease)]
 
-    def _answer_arrivals(
+    def _answer_registrations(
         self, record: changes.ProcessesChanged, now_ms: int
     ) -> list[Command]:
         commands: list[Command] = []
         for info in record.up:
-            self.leases.registered(info, now_ms)
-            waiter = self._arriving.pop(info.incarnation, None)
+            self.leases.add_holder(info, now_ms)
+            waiter = self._registering.pop(info.incarnation, None)
             if waiter is not None:
-                # It asks again at once, and then gets its lease.
+                # The process asks again at once and then gets its lease.
                 lease = changes.Lease(
                     ask=waiter.ask, revision=self._state.revision
                 )
                 commands.append(Send(info.incarnation, lease))
         return commands
 
-    def _apply(
+    def _propose_change(
         self, info: changes.ProcessInfo, change: changes.Apply, wall_ms: int
     ) -> list[Command]:
         self._waiters.add(
@@ -260,13 +258,13 @@
             for waiter in waiters
         ]
 
-    def _in_force(
+    def _in_force_reply(
         self, info: changes.ProcessInfo, get: changes.GetInForce, now_ms: int
     ) -> Send:
         answer = changes.InForce(
             ask=get.ask,
             revision=self._state.revision,
-            lacking=self.leases.lacking(get.revision, now_ms),
+            lacking=self.leases.find_lagging(get.revision, now_ms),
         )
         return Send(info.incarnation, answer)
 
@@ -275,13 +273,15 @@
     ) -> list[Command]:
         known = self._state.plans.get(make.plan_id)
         if known is not None:
-            return [self._shown(info.incarnation, make.ask, make.plan_id, [])]
+            return [
+                self._plan_reply(info.incarnation, make.ask, make.plan_id, [])
+            ]
         made = drafts.make_plan(
-            make.plan_id, make.intent, make.operator, self._look()
+            make.plan_id, make.intent, make.operator, self._get_view()
         )
         if isinstance(made, plans.InvalidIntent):
             return [
-                self._shown(
+                self._plan_reply(
                     info.incarnation, make.ask, make.plan_id, made.problems
                 )
             ]
@@ -289,15 +289,15 @@
         self._waiters.add(info, make.ask, make.plan_id, _kind_of(record))
         return [Propose(record)]
 
-    def _confirm(
+    def _confirm_plan(
         self, info: changes.ProcessInfo, msg: changes.ConfirmPlan, wall_ms: int
     ) -> list[Command]:
         run = self._state.plans.get(msg.plan_id)
         if run is not None and run.state is plans.PlanState.PROPOSED:
-            problems = self._rest_has_changed(run)
+            problems = self._find_departed_servers(run)
             if problems:
                 return [
-                    self._shown(
+                    self._plan_reply(
                         info.incarnation, msg.ask, msg.plan_id, problems
                     )
                 ]
@@ -307,13 +307,13 @@
         self._waiters.add(info, msg.ask, msg.plan_id, _kind_of(record))
         return [Propose(record)]
 
-    def _rest_has_changed(self, run: PlanRun) -> list[str]:
-        """Returns which servers that the forecast counts on are not there."""
-        there = {r.server for r in self._look().servers if not r.leaving}
+    def _find_departed_servers(self, run: PlanRun) -> list[str]:
+        """Returns a problem for each server of the forecast that has left."""
+        present = {r.server for r in self._get_view().servers if not r.leaving}
         return [
             f"server {name}: counted on by the plan, has left since"
             for name in run.plan.rest
-            if name not in there
+            if name not in present
         ]
 
     def _stop_or_undo(
@@ -332,18 +332,22 @@
         made = isinstance(record, changes.PlanMade)
         plan_id = record.plan.plan_id if made else record.plan_id
         return [
-            self._shown(waiter.incarnation, waiter.ask, plan_id, outcome or [])
+            self._plan_reply(
+                waiter.incarnation, waiter.ask, plan_id, outcome or []
+            )
             for waiter in self._waiters.remove(plan_id, _kind_of(record))
         ]
 
-    def _shown(
+    def _plan_reply(
         self, to: str, ask: int, plan_id: str, problems: list[str]
     ) -> Send:
         run = self._state.plans.get(plan_id)
         answer = changes.PlanShown(
             ask=ask,
             plan=run.plan if run is not None else None,
-            progress=reports.plan_progress(run, [], self._orders.note(plan_id))
+            progress=reports.plan_progress(
+                run, [], self._orders.last_problem(plan_id)
+            )
             if run is not None
             else None,
             forecast=run.plan.forecast if run is not None else None,
@@ -351,7 +355,7 @@
         )
         return Send(to, answer)
 
-    def _quarantine(
+    def _propose_quarantine(
         self, info: changes.ProcessInfo, msg: changes.Quarantine, wall_ms: int
     ) -> list[Command]:
         record: changes.ControlRecord
@@ -370,21 +374,21 @@
         )
         return [Propose(record)]
 
-    def _order_result(
+    def _handle_order_result(
         self, info: changes.ProcessInfo, msg: changes.OrderResult, wall_ms: int
     ) -> list[Command]:
         commands: list[Command] = [
             Send(info.incarnation, changes.Done(ask=msg.ask))
         ]
-        if self._orders.result(msg):
+        if self._orders.record_result(msg):
             record = changes.PlanAdvanced(
                 at_ms=wall_ms, plan_id=msg.plan_id, step=msg.step
             )
             commands.append(Propose(record))
         return commands
 
-    def _entry_near(self, offer: changes.OrderOffer) -> str | None:
-        server = self._orders.server_of(offer)
+    def _choose_entry(self, offer: changes.OrderOffer) -> str | None:
+        server = self._orders.find_server(offer)
         entries = [
             info
             for info in self.connected.values()
@@ -397,43 +401,43 @@
         )
         return chosen.incarnation if chosen is not None else None
 
-    def _advance(self, now_ms: int, wall_ms: int) -> list[Command]:
-        """Ends the waits of plans whose servers have become empty."""
+    def _advance_idle_plans(self, now_ms: int, wall_ms: int) -> list[Command]:
+        """Ends the wait steps of plans whose servers are idle."""
         waiting = [
             (plan_id, run, step)
             for plan_id, run in self._state.plans.items()
-            if isinstance(step := run.current(), plans.WaitStep)
+            if isinstance(step := run.current_step(), plans.WaitStep)
         ]
         if not waiting:
             return []
-        usage = self._look().usage
+        usage = self._get_view().usage
         commands: list[Command] = []
         for plan_id, run, step in waiting:
-            newest = max(run.wrote.values(), default=0)
-            busy = self.leases.lacking(newest, now_ms) or any(
-                one.calls for one in usage if reports.counts(step, one)
+            newest = max(run.written_revisions.values(), default=0)
+            busy = self.leases.find_lagging(newest, now_ms) or any(
+                one.calls for one in usage if reports.waits_for(step, one)
             )
             if busy:
-                self._empty_since.pop(plan_id, None)
+                self._idle_since_ms.pop(plan_id, None)
                 continue
-            since = self._empty_since.setdefault(plan_id, now_ms)
-            if now_ms - since >= _SETTLE_MS:
-                del self._empty_since[plan_id]
+            since = self._idle_since_ms.setdefault(plan_id, now_ms)
+            if now_ms - since >= _MIN_IDLE_MS:
+                del self._idle_since_ms[plan_id]
                 record = changes.PlanAdvanced(
                     at_ms=wall_ms, plan_id=plan_id, step=run.step
                 )
                 commands.append(Propose(record))
         return commands
 
-    def _status(
+    def _status_reply(
         self, info: changes.ProcessInfo, get: changes.GetStatus, now_ms: int
     ) -> Send:
         status = reports.status(
             get.ask,
             self._state,
-            self._look(),
+            self._get_view(),
             self.leases.holders.values(),
-            self._orders.note,
+            self._orders.last_problem,
             now_ms,
         )
         return Send(info.incarnation, status)
--- a/catkinpin/core/operations/leases.py
+++ b/catkinpin/core/operations/leases.py
@@ -1,4 +1,4 @@
-"""Leases of the control leader: who may serve, and under which revision."""
+"""Leases that the control leader grants to serve under a revision."""
 
 from __future__ import annotations
 
@@ -12,84 +12,92 @@
 
     from catkinpin.core.operations.changes import ProcessInfo
 
-# Counted by its holder from when it sent its request, and by the leader from
-# when it answered, which is later; so the leader never calls a lease lapsed
-# that its holder still goes by.
+# The holder counts it from sending its request and the leader from its answer,
+# which is later. So a lease never expires at the leader while its holder still
+# serves under it.
 LEASE_MS = 3_000
-# Two monotonic clocks may run apart by this much in the time of a lease.
+# Most by which two monotonic clocks diverge during a lease.
 MAX_CLOCK_DRIFT_MS = 30
-_FORGET_AFTER_MS = 60_000
+_REMOVE_AFTER_MS = 60_000
 
 
 @dataclasses.dataclass
 class Holder:
-    """A process as the leader knows it.
+    """A registered process and its lease.
 
     Attributes:
-        revision: the revision that it last confirmed.
-        lapses_ms: when its lease is over, on the leader's monotonic clock.
+        info: the process.
+        revision: newest revision that the process has confirmed.
+        expires_at_ms: end of its lease on the leader's monotonic clock.
     """
 
     info: ProcessInfo
     revision: int = 0
-    lapses_ms: int = 0
+    expires_at_ms: int = 0
 
 
 class Leases:
-    """Holders of leases; lost with the leadership.
+    """Leases of registered processes; a new leader starts without them.
 
-    A new leader does not know which leases the one before it gave, so it takes
-    each process of the log for one that has just got its lease: a change would
-    otherwise count as in force while a process still serves under the old one.
+    A new leader does not know which leases its predecessor granted. So it
+    assumes that every process in the log has just got one: otherwise a change
+    would count as in force while a process still serves under the old revision.
+
+    Args:
+        known: processes that the log registers.
+        now_ms: monotonic time.
+
+    Attributes:
+        holders: registered processes by incarnation.
     """
 
     def __init__(self, known: Iterable[ProcessInfo], now_ms: int) -> None:
         self.holders: dict[str, Holder] = {}
         for info in known:
-            self.registered(info, now_ms + LEASE_MS + MAX_CLOCK_DRIFT_MS)
+            self.add_holder(info, now_ms + LEASE_MS + MAX_CLOCK_DRIFT_MS)
 
-    def registered(self, info: ProcessInfo, lapses_ms: int) -> None:
-        """Notes a process that stands in the log."""
-        holder = Holder(info, lapses_ms=lapses_ms)
+    def add_holder(self, info: ProcessInfo, expires_at_ms: int) -> None:
+        """Adds a process that the log registers, unless it is known."""
+        holder = Holder(info, expires_at_ms=expires_at_ms)
         self.holders.setdefault(info.incarnation, holder)
 
     def renew(self, incarnation: str, revision: int, now_ms: int) -> bool:
-        """Gives a lease; returns False where the process isn't registered."""
+        """Renews a lease; returns False if the process isn't registered."""
         holder = self.holders.get(incarnation)
         if holder is None:
             return False
         holder.revision = max(holder.revision, revision)
-        holder.lapses_ms = now_ms + LEASE_MS + MAX_CLOCK_DRIFT_MS
+        holder.expires_at_ms = now_ms + LEASE_MS + MAX_CLOCK_DRIFT_MS
         return True
 
-    def confirmed(self, incarnation: str, revision: int) -> None:
-        """Notes a revision that a process serves under, without a lease."""
+    def record_revision(self, incarnation: str, revision: int) -> None:
+        """Records a revision that a process confirms, without a lease."""
         holder = self.holders.get(incarnation)
         if holder is not None:
             holder.revision = max(holder.revision, revision)
 
-    def lacking(
+    def find_lagging(
         self, revision: int, now_ms: int
     ) -> list[changes.UnderReplicated]:
-        """Returns live processes that may serve under an older revision."""
+        """Returns the lease holders that may serve under an older revision."""
         return [
             changes.UnderReplicated(
                 process=holder.info.process,
                 incarnation=holder.info.incarnation,
                 revision=holder.revision,
-                lease_left_ms=holder.lapses_ms - now_ms,
+                lease_left_ms=holder.expires_at_ms - now_ms,
             )
             for holder in self.holders.values()
-            if holder.revision < revision and holder.lapses_ms > now_ms
+            if holder.revision < revision and holder.expires_at_ms > now_ms
         ]
 
-    def gone(self, now_ms: int) -> list[str]:
-        """Returns incarnations whose lease lapsed long ago, and drops them."""
-        oldest = now_ms - _FORGET_AFTER_MS
+    def remove_expired(self, now_ms: int) -> list[str]:
+        """Removes and returns incarnations whose lease expired long ago."""
+        oldest = now_ms - _REMOVE_AFTER_MS
         found = [
             incarnation
             for incarnation, holder in self.holders.items()
-            if holder.lapses_ms < oldest
+            if holder.expires_at_ms < oldest
         ]
         for incarnation in found:
             del self.holders[incarnation]
--- a/catkinpin/core/operations/plans.py
+++ b/catkinpin/core/operations/plans.py
@@ -1,4 +1,4 @@
-"""Plans: what operators intend, the steps to it, and what is forecast."""
+"""Types of plans: operators' intents, steps, forecasts and progress."""
 
 from __future__ import annotations
 
@@ -19,33 +19,38 @@
 
     from catkinpin.core.messages import ServerReport
 
-# Upper bound of the text behind a token; the link carries it compressed.
+# Upper bound of the text of a token; links between regions compress it.
 BYTES_PER_TOKEN = 4
 
 
 class Move(Message, frozen=True):
-    """Intent: take a deployment off backend servers."""
+    """Intent: stop running a deployment's calls on some backend servers.
+
+    Attributes:
+        deployment: name of the deployment.
+        off: names of the servers.
+    """
 
     deployment: str
     off: list[str]
 
 
 class DrainPlace(Message, frozen=True):
-    """Intent: give a server, host, domain or region no new work."""
+    """Intent: send no new work to a server, host, failure domain or region."""
 
     scope: str
     name: str
 
 
 class Undrain(Message, frozen=True):
-    """Intent: take a drain back."""
+    """Intent: remove a drain."""
 
     scope: str
     name: str
 
 
 class SetBudget(Message, frozen=True):
-    """Intent: change a deployment's budget; 0 leaves a bound as it is."""
+    """Intent: change a deployment's budget; 0 keeps a limit unchanged."""
 
     deployment: str
     tokens: int = 0
@@ -54,14 +59,14 @@
 
 
 class Scale(Message, frozen=True):
-    """Intent: let a deployment use this many backend servers a target."""
+    """Intent: set the number of backend servers a deployment has per target."""
 
     deployment: str
     servers: int
 
 
 class NewVersion(Message, frozen=True):
-    """Intent: bring a version of a target to the deployment's servers."""
+    """Intent: load a version of a target on the deployment's servers."""
 
     deployment: str
     target: str
@@ -72,7 +77,7 @@
 
 
 class ChangeStep(Message, frozen=True):
-    """Changes the configuration; done at once."""
+    """Step that changes the configuration; it completes immediately."""
 
     text: str
     upserts: list[Item] = []
@@ -80,10 +85,10 @@
 
 
 class WaitStep(Message, frozen=True):
-    """Waits until no call is in flight on the servers.
+    """Step that waits until no call is in flight on the servers.
 
     Attributes:
-        deployment: whose calls count; empty: everyone's.
+        deployment: deployment whose calls count; empty for all calls.
     """
 
     text: str
@@ -92,11 +97,11 @@
 
 
 class OrderStep(Message, frozen=True):
-    """Gives an engine an order, with a fencing token.
+    """Step that sends an engine an order with a fencing token.
 
     Attributes:
         order: the order, a JSON object.
-        reverse: the order that takes it back.
+        reverse: the order that reverts it.
     """
 
     text: str
@@ -109,11 +114,11 @@
 
 
 class ServerLoad(Message, frozen=True):
-    """Expected load of a server that stays.
+    """Expected load of a server that the plan keeps in use.
 
     Attributes:
-        before: calls running and waiting, for each place it has.
-        after: the same once the plan is carried out.
+        before: calls running and waiting now, divided by the capacity.
+        after: the same ratio once the plan is carried out.
     """
 
     server: str
@@ -122,14 +127,14 @@
 
 
 class Forecast(Message, frozen=True):
-    """What a plan would bring, as far as the reports of now show.
+    """Expected effects of a plan according to the current reports.
 
     Attributes:
-        loads: of the servers that stay.
-        refused: whose calls would be refused, and why.
-        lost_programs: programs whose cached prefix would be lost.
-        lost_tokens: tokens of these prefixes, to be computed again.
-        link_bytes: bytes of history that would cross between regions.
+        loads: loads of the servers that stay in use.
+        refused: warnings about calls that would be refused or wait.
+        lost_programs: number of programs that would lose their cached prefix.
+        lost_tokens: tokens of these prefixes, which would be computed again.
+        link_bytes: bytes of history that would be sent between regions.
     """
 
     loads: list[ServerLoad] = []
@@ -140,18 +145,19 @@
 
 
 class BaseItem(Message, frozen=True):
-    """An item of the configuration as the plan found it."""
+    """An item that a plan depends on, and its revision at that time."""
 
     key: ItemKey
     revision: int
 
 
 class Plan(Message, frozen=True):
-    """What an operator confirms.
+    """A plan as it is shown to the operator who confirms it.
 
     Attributes:
+        revision: revision of the configuration that the plan was made from.
         base: items that must be unchanged when the plan is confirmed.
-        rest: servers that the forecast counts on.
+        rest: servers that the forecast needs to stay in use.
     """
 
     plan_id: str
@@ -165,7 +171,7 @@
 
 
 class PlanState(enum.StrEnum):
-    """Where a plan stands."""
+    """State of a plan."""
 
     PROPOSED = "proposed"
     RUNNING = "running"
@@ -176,12 +182,14 @@
 
 
 class PlanProgress(Message, frozen=True):
-    """A plan's progress.
+    """Progress of a plan.
 
     Attributes:
-        step: number of steps done.
-        calls_left: calls in flight on the servers to be left.
-        programs_left: programs whose last call ran there.
+        step: number of completed steps.
+        steps: texts of all steps.
+        calls_left: calls in flight on the servers that the plan waits for.
+        programs_left: programs whose last call ran on these servers.
+        note: last problem with the plan's orders; empty if none.
     """
 
     plan_id: str
@@ -196,11 +204,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServerUsage:
-    """What a deployment's programs have on a server.
+    """Calls and cached histories of a deployment's programs on a server.
 
     Attributes:
-        calls: calls in flight.
-        programs: programs whose last call ran there and that go on.
+        calls: number of calls in flight.
+        programs: number of programs that have not ended and whose last call
+            ran on the server.
         tokens: tokens of these programs' histories.
     """
 
@@ -214,12 +223,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class ClusterView:
-    """What is known when a plan is made.
+    """Configuration, servers and programs that a plan is made from.
 
     Attributes:
-        silent: servers that have not reported for some time.
-        overspent: counts programs that have spent more than a deployment's
-            budget.
+        cfg: current configuration.
+        revision: revision of the configuration.
+        revision_of: returns the revision of an item's last change.
+        servers: latest reports of the backend servers.
+        usage: usage of the servers by the deployments' programs.
+        silent: names of servers that have not reported for some time.
+        overspent: returns the number of programs that have spent more than a
+            deployment's budget.
     """
 
     cfg: Configuration
@@ -233,6 +247,6 @@
 
 @dataclasses.dataclass(frozen=True)
 class InvalidIntent:
-    """The intent can't be planned; each problem names its field."""
+    """An intent that can't be planned; each problem starts with its field."""
 
     problems: list[str]
--- a/catkinpin/core/operations/reports.py
+++ b/catkinpin/core/operations/reports.py
@@ -1,4 +1,4 @@
-"""What operators are shown of plans, processes and servers."""
+"""Builds the status of plans, processes and servers for operators."""
 
 from __future__ import annotations
 
@@ -16,15 +16,17 @@
 def plan_progress(
     run: PlanRun, usage: list[plans.ServerUsage], note: str
 ) -> plans.PlanProgress:
-    """Returns how far a plan is.
+    """Returns a plan's progress.
 
     Args:
         run: the plan.
-        usage: what programs have on each server.
-        note: on the orders to engines that it waits for.
+        usage: calls and cached histories on each server.
+        note: last problem with the plan's orders to engines.
     """
     waits = [s for s in run.steps if isinstance(s, plans.WaitStep)]
-    found = [one for one in usage if any(counts(step, one) for step in waits)]
+    found = [
+        one for one in usage if any(waits_for(step, one) for step in waits)
+    ]
     return plans.PlanProgress(
         plan_id=run.plan.plan_id,
         state=run.state,
@@ -42,17 +44,17 @@
     state: ControlState,
     view: plans.ClusterView,
     holders: Iterable[Holder],
-    note: Callable[[str], str],
+    order_problem: Callable[[str], str],
     now_ms: int,
 ) -> changes.Status:
     """Returns the status of processes, servers and plans.
 
     Args:
-        ask: number of the request that is answered.
-        state: of the control group.
-        view: what is known of servers and programs now.
-        holders: of leases.
-        note: returns a note on a plan's orders to engines.
+        ask: number of the request.
+        state: state of the control group.
+        view: current servers and programs.
+        holders: holders of leases.
+        order_problem: returns the last problem with a plan's orders.
         now_ms: monotonic time.
     """
     processes = [
@@ -63,18 +65,18 @@
             domain=holder.info.domain,
             region=holder.info.region,
             revision=holder.revision,
-            lease_left_ms=max(0, holder.lapses_ms - now_ms),
+            lease_left_ms=max(0, holder.expires_at_ms - now_ms),
         )
         for holder in holders
     ]
     return changes.Status(
         ask=ask,
         revision=state.revision,
-        operator=state.last.operator,
+        operator=state.last_change.operator,
         processes=sorted(processes, key=lambda one: one.process),
         servers=[_server_status(view, r) for r in view.servers],
         plans=[
-            plan_progress(run, view.usage, note(run.plan.plan_id))
+            plan_progress(run, view.usage, order_problem(run.plan.plan_id))
             for run in state.plans.values()
         ],
         quarantined={
@@ -84,17 +86,17 @@
     )
 
 
-def counts(step: plans.WaitStep, usage: plans.ServerUsage) -> bool:
-    """Returns whether a step waits for these calls to end."""
-    whose = step.deployment in ("", usage.deployment)
-    return whose and usage.server in step.servers
+def waits_for(step: plans.WaitStep, usage: plans.ServerUsage) -> bool:
+    """Returns whether a step waits for the calls of `usage` to end."""
+    deployment_matches = step.deployment in ("", usage.deployment)
+    return deployment_matches and usage.server in step.servers
 
 
 def _server_status(
     view: plans.ClusterView, report: Any
 ) -> changes.ServerStatus:
     state = "in use"
-    if view.cfg.drained(report):
+    if view.cfg.is_drained(report):
         state = "drained"
     if report.leaving:
         state = "leaving"
--- a/catkinpin/core/operations/snapshot.py
+++ b/catkinpin/core/operations/snapshot.py
@@ -1,4 +1,7 @@
-"""The control group's state as bytes, with a version of the format."""
+"""Encodes the control group's state for snapshots and decodes it.
+
+The first byte of a snapshot is the version of its format.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from catkinpin.core.operations.deployments import Item, ItemKey
 from catkinpin.exceptions import StorageError
 
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
 class _Item(codec.Message, frozen=True):
@@ -60,13 +63,13 @@
 
 
 def encode_state(state: control.ControlState) -> bytes:
-    """Returns the state as bytes that `load` takes."""
+    """Returns the state as bytes that `decode_state` reads."""
     saved = _State(
         revision=state.revision,
         now_ms=state.now_ms,
         oldest_base=state.oldest_base,
-        fence=state.fence,
-        last=state.last,
+        fence=state.last_fencing_token,
+        last=state.last_change,
         items=[
             _Item(
                 key=key,
@@ -78,7 +81,7 @@
         ],
         results=[
             _Result(request_id=request_id, result=result)
-            for request_id, result in state.results.items()
+            for request_id, result in state.change_results.items()
         ],
         processes=list(state.processes.values()),
         servers=list(state.servers.values()),
@@ -88,18 +91,21 @@
         ],
         plans=[_save_run(run) for run in state.plans.values()],
     )
-    return bytes([FORMAT]) + codec.encode(saved)
+    return bytes([FORMAT_VERSION]) + codec.encode(saved)
 
 
 def decode_state(data: bytes) -> control.ControlState:
     """Returns the state in a snapshot.
 
     Raises:
-        StorageError: the format is unknown or the content does not fit it.
+        StorageError: the format is unknown, or the content does not match it.
     """
-    if not data or data[0] != FORMAT:
+    if not data or data[0] != FORMAT_VERSION:
         found = data[0] if data else "nothing"
-        text = f"control snapshot: format {FORMAT} is known, got {found}"
+        text = (
+            f"control snapshot: format {FORMAT_VERSION} is supported,"
+            f" got {found}"
+        )
         raise StorageError(text)
     try:
         saved = _decoder.decode(data[1:])
@@ -109,13 +115,13 @@
     state.revision = saved.revision
     state.now_ms = saved.now_ms
     state.oldest_base = saved.oldest_base
-    state.fence = saved.fence
-    state.last = saved.last
+    state.last_fencing_token = saved.fence
+    state.last_change = saved.last
     state.restore_items(
         (one.key, control.ItemVersion(one.item, one.revision, one.operator))
         for one in saved.items
     )
-    state.results = {one.request_id: one.result for one in saved.results}
+    state.change_results = {one.request_id: one.result for one in saved.results}
     state.processes = {one.incarnation: one for one in saved.processes}
     state.servers = {one.server: one for one in saved.servers}
     state.quarantine = {one.fingerprint: one.reason for one in saved.quarantine}
@@ -130,11 +136,11 @@
         step=run.step,
         steps=run.steps,
         before=[
-            _Before(key=key, item=item, wrote=run.wrote[key])
-            for key, item in run.before.items()
+            _Before(key=key, item=item, wrote=run.written_revisions[key])
+            for key, item in run.items_before.items()
         ],
-        fence=run.fence,
-        ordered=run.ordered,
+        fence=run.fencing_token,
+        ordered=run.issued_orders,
         at_ms=run.at_ms,
         operator=run.operator,
     )
@@ -146,10 +152,10 @@
         state=saved.state,
         step=saved.step,
         steps=saved.steps,
-        before={one.key: one.item for one in saved.before},
-        wrote={one.key: one.wrote for one in saved.before},
-        fence=saved.fence,
-        ordered=saved.ordered,
+        items_before={one.key: one.item for one in saved.before},
+        written_revisions={one.key: one.wrote for one in saved.before},
+        fencing_token=saved.fence,
+        issued_orders=saved.ordered,
         at_ms=saved.at_ms,
         operator=saved.operator,
     )
--- a/catkinpin/core/operations/waiters.py
+++ b/catkinpin/core/operations/waiters.py
@@ -1,4 +1,4 @@
-"""Processes that wait for a record of the control group."""
+"""Processes that wait for the outcome of a record of the control group."""
 
 from __future__ import annotations
 
@@ -14,43 +14,46 @@
 
 @dataclasses.dataclass(frozen=True)
 class Waiter:
-    """Who waits for a record's outcome.
+    """A process that waits for the outcome of its request's record.
 
     Attributes:
-        content: tells apart requests of different content under one id.
+        incarnation: incarnation of the process.
+        ask: number of its request.
+        discriminator: digest of the request or kind of the record; tells apart
+            different requests that use the same key.
     """
 
     incarnation: str
     ask: int
-    content: bytes = b""
+    discriminator: bytes = b""
 
 
 class RecordWaiters:
-    """Those who wait, by the key of the record that answers them."""
+    """Waiting processes by the key of the record that answers them."""
 
     def __init__(self) -> None:
         self._waiters: dict[str, list[Waiter]] = collections.defaultdict(list)
 
-    def all(self) -> Iterator[Waiter]:
-        """Yields all who wait."""
+    def all_waiters(self) -> Iterator[Waiter]:
+        """Yields all waiting processes."""
         for waiters in self._waiters.values():
             yield from waiters
 
     def add(
-        self, info: ProcessInfo, ask: int, key: str, content: bytes
+        self, info: ProcessInfo, ask: int, key: str, discriminator: bytes
     ) -> None:
-        """Adds a process that waits for the record named by a key."""
-        self._waiters[key].append(Waiter(info.incarnation, ask, content))
+        """Adds a process that waits for the record with this key."""
+        self._waiters[key].append(Waiter(info.incarnation, ask, discriminator))
 
-    def remove(self, key: str, content: bytes) -> list[Waiter]:
-        """Returns all who wait for this; a resend's answer is the same.
+    def remove(self, key: str, discriminator: bytes) -> list[Waiter]:
+        """Removes and returns all processes that wait for this record.
 
-        One whose proposal was lost may wait here no more. Were each record to
-        answer only the oldest, the answers of all later ones would go to the
-        one before, and every resend would seem lost too.
+        A request and its resends get the same answer. If each record answered
+        only the oldest waiter, one lost proposal would shift every later answer
+        to the request before it, and each resend would seem lost too.
         """
         waiters = self._waiters.pop(key, [])
-        others = [one for one in waiters if one.content != content]
+        others = [one for one in waiters if one.discriminator != discriminator]
         if others:
             self._waiters[key] = others
-        return [one for one in waiters if one.content == content]
+        return [one for one in waiters if one.discriminator == discriminator]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -194,7 +194,7 @@
 
     def lacking(self, revision: int, now_ms: int) -> list[str]:
         """Returns who lacks a revision."""
-        found = self.leader.leases.lacking(revision, now_ms)
+        found = self.leader.leases.find_lagging(revision, now_ms)
         return [one.process for one in found]
 
     def test_a_lease_only_under_the_newest_revision(self) -> None:
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -153,13 +153,13 @@
             self.state = snapshot.decode_state(saved)
             self.assertEqual(saved, snapshot.encode_state(self.state))
             run = self.state.plans["p"]
-            ordered = len(run.ordered)
+            ordered = len(run.issued_orders)
             if run.state is not plans.PlanState.DONE:
                 self.assertEqual([], self.act(changes.PlanStopped))
             self.assertEqual([], self.act(changes.PlanUndone))
             self.assertEqual(before, self.state.cfg.items())
             for _ in range(ordered):
-                step = self.state.plans["p"].current()
+                step = self.state.plans["p"].current_step()
                 assert isinstance(step, plans.OrderStep)
                 self.assertIn(b'"version": ""', step.order)
                 self.advance()
@@ -216,7 +216,7 @@
         """Asks whether the order may be sent."""
         step = self.state.plans["p"].step
         message = changes.OrderClaim(ask=1, plan_id="p", step=step)
-        return orders.claim(message, now_ms)
+        return orders.grant_claim(message, now_ms)
 
     def test_a_successor_waits_for_an_engine_that_ignores_tokens(self) -> None:
         """The control leader dies while an order is on its way.
@@ -226,10 +226,10 @@
         """
         self.order_due(honours_fencing=False)
         orders = Orders(self.state, 1_000)
-        self.assertEqual([], orders.due(1_000 + CLAIM_MS))
+        self.assertEqual([], orders.take_due_offers(1_000 + CLAIM_MS))
         self.assertEqual(0, self.claim(orders, 1_000 + CLAIM_MS).valid_ms)
         later = 1_100 + CLAIM_MS
-        self.assertEqual(1, len(orders.due(later)))
+        self.assertEqual(1, len(orders.take_due_offers(later)))
         self.assertEqual(CLAIM_MS, self.claim(orders, later).valid_ms)
 
     def test_one_order_at_a_time(self) -> None:
@@ -239,12 +239,12 @@
         """
         self.order_due(honours_fencing=True)
         orders = Orders(self.state, 1_000)
-        self.assertEqual(1, len(orders.due(1_000)))
+        self.assertEqual(1, len(orders.take_due_offers(1_000)))
         lease = self.claim(orders, 1_000)
         self.assertEqual((CLAIM_MS, 1), (lease.valid_ms, lease.fence))
         self.assertEqual(0, self.claim(orders, 1_010).valid_ms)
-        self.assertEqual([], orders.due(2_500))
-        self.assertEqual(1, len(orders.due(1_100 + CLAIM_MS)))
+        self.assertEqual([], orders.take_due_offers(2_500))
+        self.assertEqual(1, len(orders.take_due_offers(1_100 + CLAIM_MS)))
 
     def test_an_order_that_was_stopped_is_not_sent(self) -> None:
         """An operator stops the plan while an entry is about to send."""
