--- a/catkinpin/core/messages.py
+++ b/catkinpin/core/messages.py
@@ -1,4 +1,4 @@
-"""Messages between our processes: entry to replica, entry to entry."""
+"""Messages between processes: entry to replica and entry to entry."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class ProgramKey(Message, frozen=True):
-    """Names a program; two accounts may use the same program id."""
+    """Identifies a program; two accounts may use the same program id."""
 
     account: str
     program: str
 
 
 class CallKey(Message, frozen=True):
-    """Names a call; a resent call carries the same request id."""
+    """Identifies a call; a resent call has the same request id."""
 
     account: str
     program: str
@@ -27,7 +27,7 @@
 
 
 class Usage(Message, frozen=True):
-    """Tokens of one call as the engine counted them."""
+    """Tokens of a call as the engine counted them."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -35,7 +35,7 @@
 
 
 class Answer(Message, frozen=True):
-    """A backend server's whole answer.
+    """A backend server's complete answer.
 
     Attributes:
         status: HTTP status code.
@@ -49,7 +49,7 @@
 
 
 class Hello(Message, frozen=True):
-    """First message on a stream: who connects."""
+    """First message on a stream; identifies the connecting process."""
 
     process: str
     incarnation: str
@@ -60,11 +60,12 @@
 
 
 class Ping(Message, frozen=True):
-    """Asks the other end to prove that the stream still carries data.
+    """Checks that the stream still carries data in both directions.
 
     Attributes:
-        nonce: of this ping, or 0 where none is meant to be echoed.
-        echo: the last nonce that the sender has got.
+        nonce: nonce that the other end shall echo; 0 for none.
+        echo: last nonce that the sender has received and not echoed yet; 0
+            for none.
     """
 
     nonce: int = 0
@@ -72,10 +73,10 @@
 
 
 class GroupLeader(Message, frozen=True):
-    """Says who leads a log group, as far as the sender knows.
+    """Reports the leader of a log group that the sender knows.
 
     Attributes:
-        leader: address of the leader, empty while there is none.
+        leader: address of the leader; empty if there is none.
     """
 
     group: str
@@ -87,21 +88,23 @@
     """Asks the shard's leader to admit a call and grant it a server.
 
     Attributes:
-        ask: correlates the reply.
+        ask: number of the request; the reply has the same.
         parent: id of the program that started this one, or empty.
-        seq: place in the program counted from 1, or 0 for the next place.
+        seq: position of the call in the program, counted from 1; 0 for the
+            next position.
         kind: `model` or `service`.
         target: name of the model or service.
         idempotent: whether the call may be dispatched more than once.
-        deadline_ms: milliseconds the caller still waits.
+        deadline_ms: time in which the caller expects the answer.
         fingerprint: digest of the request's content.
         whole: whether `digests` cover the history from its start.
         digests: a digest for each message of the request.
         prompt_tokens: upper bound of the prompt's tokens.
-        max_tokens: most tokens the caller wants generated.
+        max_tokens: maximum number of tokens to generate.
         region: region of the entry that the caller is connected to.
         traceparent: W3C trace context of the caller's span.
-        once: whether the caller named no program, so that none continues.
+        once: whether the caller named no program; the call then gets a program
+            of its own, which ends after it.
     """
 
     ask: int
@@ -123,7 +126,7 @@
 
 
 class ServerRef(Message, frozen=True):
-    """One incarnation of a backend server."""
+    """An incarnation of a backend server."""
 
     server: str
     incarnation: str
@@ -135,21 +138,22 @@
     """Allows one dispatch of a call.
 
     Attributes:
-        attempt: id of this dispatch, unique for ever.
-        dispatcher: address of the entry that shall dispatch; empty for the
-            entry that asked.
-        expires_ms: milliseconds within which the dispatch must begin, from
-            when the entry sent its question plus `waited_ms`, on the entry's
-            monotonic clock; after that the grant must be handed back. Counted
-            from the receipt, a grant that lay unread in a stopped process
-            would look fresh, and overtake the program's next call.
-        waited_ms: milliseconds that the leader kept the question.
-        max_tokens: most tokens that the budget allows.
-        skip: how many of the request's messages the history already holds.
-        history: stored messages (JSON) that go before the request's own; only
-            filled where the request does not carry the whole history.
-        until_ms: set by the receiver: when the grant expires on its own
-            monotonic clock; 0 on the way.
+        attempt: id of this dispatch; never used again.
+        dispatcher: address of the entry that dispatches the call; empty for
+            the entry that asked.
+        expires_ms: time within which the dispatch must begin, counted from
+            when the entry sent its `Begin` plus `waited_ms`, on the entry's
+            monotonic clock. After that the entry must return the grant. If
+            the time counted from the receipt, a grant that stayed unread in
+            a stopped process would look new and overtake the program's next
+            call.
+        waited_ms: time for which the leader kept the `Begin` waiting.
+        max_tokens: maximum number of tokens that the budget allows.
+        skip: number of the request's messages that the history already holds.
+        history: stored messages (JSON) to put before the request's own; empty
+            if the request contains the whole history.
+        until_ms: time on the receiver's monotonic clock when the grant
+            expires; the receiver sets it, and it is 0 when sent.
     """
 
     ask: int
@@ -172,12 +176,12 @@
 
     Attributes:
         verdict: whether the request may have run.
-        reason: what went wrong, where no answer came.
-        answer: the whole answer, where one came.
-        messages: JSON of the request's messages that are new to the history,
-            then of the answer's message.
-        crashed: whether the server's connection broke while it held the
-            request, so that the request is suspect.
+        reason: why no answer came.
+        answer: the complete answer; None if there is none.
+        messages: JSON of the request's messages that the history lacks,
+            followed by the answer's message.
+        crashed: whether the connection broke while the server was processing
+            the request, which makes the request suspect of crashing servers.
     """
 
     ask: int
@@ -193,13 +197,14 @@
 
 
 class Recover(Message, frozen=True):
-    """Asks an entry what became of an attempt whose own entry is gone.
+    """Asks an entry for the outcome of an attempt whose own entry is gone.
 
-    The entry asks the server and sends nothing else; a `Finish` follows.
+    The entry queries the server, does not dispatch the request again, and
+    answers with a `Finish`.
 
     Attributes:
-        deadline_ms: milliseconds that the entry may ask for, at most; the
-            leader itself settles the call at its deadline.
+        deadline_ms: maximum time for which the entry may query the server;
+            the leader itself ends the call at its deadline.
     """
 
     key: CallKey
@@ -209,12 +214,12 @@
 
 
 class Recall(Message, frozen=True):
-    """Takes a grant back unless the entry has used it.
+    """Revokes a grant unless the entry has used it.
 
-    The entry answers with a `Finish`: `NOT_RUN` where it never used the grant,
-    and then refuses to use it later; `MAY_HAVE_RUN` where it used the grant
-    and no longer knows the outcome. While the attempt is under way there is
-    no answer; its own `Finish` comes.
+    The entry answers with a `Finish`: `NOT_RUN` if it has not used the grant,
+    which it then never does, or `MAY_HAVE_RUN` if it has used the grant and
+    no longer knows the outcome. While the attempt is in progress it does not
+    answer; the `Finish` of the attempt follows.
     """
 
     key: CallKey
@@ -222,11 +227,11 @@
 
 
 class OrderRelease(Message, frozen=True):
-    """Has an entry order a server to release the memory of programs.
+    """Asks an entry to order a server to release the memory of programs.
 
     Attributes:
-        group: the log group whose leader asks.
-        programs: `ACCOUNT/PROGRAM`, as the engine knows them.
+        group: log group whose leader asks.
+        programs: programs as `ACCOUNT/PROGRAM`, the names the engine uses.
     """
 
     group: str
@@ -235,10 +240,10 @@
 
 
 class ReleaseDone(Message, frozen=True):
-    """The server confirmed the release.
+    """Reports that a server has confirmed the release.
 
     Attributes:
-        incarnation: of the server that confirmed.
+        incarnation: incarnation of the server that confirmed.
     """
 
     group: str
@@ -248,7 +253,7 @@
 
 
 class Finished(Message, frozen=True):
-    """The final answer of a call, durable in the shard's log."""
+    """Final answer of a call, stored in the shard's log."""
 
     ask: int
     key: CallKey
@@ -259,11 +264,11 @@
 
 
 class Refused(Message, frozen=True):
-    """The final answer of a call that gets no backend server's answer.
+    """Final answer of a call that has no answer of a backend server.
 
     Attributes:
-        retry_after_ms: when coming back helps, or 0 where it does not.
-        detail: the field or message at fault, for a machine to read.
+        retry_after_ms: time after which a retry may succeed; 0 if it can't.
+        detail: machine-readable name of the wrong field or message.
     """
 
     ask: int
@@ -275,7 +280,11 @@
 
 
 class NotLeader(Message, frozen=True):
-    """The replica asked does not lead the group."""
+    """Answers that the replica does not lead the group.
+
+    Attributes:
+        leader: address of the leader; empty if it is not known.
+    """
 
     ask: int
     group: str
@@ -283,14 +292,19 @@
 
 
 class GetProgram(Message, frozen=True):
-    """Asks for a program's state."""
+    """Asks for the state of a program; `ProgramInfo` answers."""
 
     ask: int
     key: ProgramKey
 
 
 class ProgramInfo(Message, frozen=True):
-    """A program's state."""
+    """State of a program.
+
+    Attributes:
+        next_seq: position that the next call gets.
+        reserved_tokens: tokens reserved for attempts without a known outcome.
+    """
 
     ask: int
     key: ProgramKey
@@ -304,27 +318,27 @@
 
 
 class EndProgram(Message, frozen=True):
-    """Ends a program; its engine memory is released."""
+    """Asks to end a program and to release its memory in the engines."""
 
     ask: int
     key: ProgramKey
 
 
 class ServerReport(Message, frozen=True):
-    """What a backend server last said about itself.
+    """Last report of a backend server about itself.
 
     Attributes:
-        server: stable name chosen by the server.
-        incarnation: new at each start of the server's process.
+        server: stable name that the server chose.
+        incarnation: id that changes at each start of the server's process.
         kind: `model` or `service`.
         serves: names of the models or services.
-        capacity: requests it runs at once.
-        cache_tokens: size of its prefix cache, 0 for plain services.
-        running: requests it runs now, as of the report.
-        waiting: requests in its queue, as of the report.
+        capacity: number of requests it can run at the same time.
+        cache_tokens: size of its prefix cache; 0 for plain services.
+        running: number of requests it was running.
+        waiting: number of requests in its queue.
         leaving: whether it asks for no new work.
-        honours_fencing: whether it refuses orders with an old fencing number.
-        checks_sender: whether it checks who gives an order.
+        honours_fencing: whether it refuses orders with an old fencing token.
+        checks_sender: whether it checks who sent an order.
         held: ids of programs whose prefixes its cache holds.
     """
 
@@ -346,10 +360,10 @@
 
 
 class Reports(Message, frozen=True):
-    """A batch of server reports from the entry that received them.
+    """Server reports from the entry that received them.
 
     Attributes:
-        age_ms: for each report, its age when it was sent.
+        age_ms: age of each report when this message was sent.
     """
 
     reports: list[ServerReport]
@@ -360,11 +374,11 @@
     """A change of an engine's prefix cache.
 
     Attributes:
-        seq: counted by the engine from 1 in each incarnation; a gap means that
-            events were lost.
+        seq: number of the event, counted from 1 in each incarnation of the
+            engine; a gap means that events were lost.
         kind: `held` or `evicted`.
         program: `ACCOUNT/PROGRAM` whose prefix changed.
-        tokens: length of the prefix that is held now.
+        tokens: length of the prefix that the cache holds now.
     """
 
     seq: int
@@ -374,7 +388,7 @@
 
 
 class CacheEvents(Message, frozen=True):
-    """Cache events of one engine, in order, some perhaps missing."""
+    """Cache events of an engine in order; some may be missing."""
 
     server: str
     incarnation: str
@@ -385,8 +399,8 @@
     """Asks another entry to dispatch a granted call.
 
     Attributes:
-        base: digest chain over the messages left out of `body`, which the
-            receiver may hold; empty where `body` is whole.
+        base: digest chain over the messages omitted from `body`, which the
+            receiver may hold; empty if `body` is complete.
         head: digest chain over all messages of the prompt.
     """
 
@@ -404,20 +418,20 @@
 
 
 class NeedWhole(Message, frozen=True):
-    """Answers a `Dispatch` whose `base` the receiver does not hold."""
+    """Asks for the complete `body` of a `Dispatch` with an unknown `base`."""
 
     ask: int
 
 
 class Chunk(Message, frozen=True):
-    """Part of an answer that streams back to the caller's entry."""
+    """Part of an answer that is streamed to the caller's entry."""
 
     ask: int
     data: bytes
 
 
 class Dispatched(Message, frozen=True):
-    """Ends a `Dispatch`."""
+    """Reports the outcome of a `Dispatch`."""
 
     ask: int
     finish: Finish
--- a/catkinpin/core/operations/usage.py
+++ b/catkinpin/core/operations/usage.py
@@ -1,4 +1,4 @@
-"""What programs have on each backend server, for plans and their progress."""
+"""Summarizes the calls and cached histories on each backend server."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 @dataclasses.dataclass
-class _Sum:
+class _Totals:
     calls: int = 0
     programs: int = 0
     tokens: int = 0
 
 
-_Key = tuple[str, str, str]
+_TotalsKey = tuple[str, str, str]
 
 
 def summarize_usage(
@@ -30,38 +30,40 @@
 ) -> list[ServerUsage]:
     """Returns calls and cached histories by server and deployment.
 
-    It goes through all programs: call it for an operator or while a plan
-    waits, not for each call.
+    It iterates over all programs: call it for an operator's request or while a
+    plan waits, not for each call.
     """
-    sums: dict[_Key, _Sum] = collections.defaultdict(_Sum)
+    totals: dict[_TotalsKey, _Totals] = collections.defaultdict(_Totals)
     deployments: dict[tuple[str, str], str] = {}
 
-    def place(account: str, target: str, server: str) -> _Sum:
-        found = deployments.get((account, target))
-        if found is None:
+    def find_totals(account: str, target: str, server: str) -> _Totals:
+        name = deployments.get((account, target))
+        if name is None:
             deployment = cfg.deployment_for(account, target)
-            found = deployment.name if deployment is not None else ""
-            deployments[account, target] = found
-        return sums[server, found, target]
+            name = deployment.name if deployment is not None else ""
+            deployments[account, target] = name
+        return totals[server, name, target]
 
     for program in programs:
-        _add(program, place)
+        _add_program(program, find_totals)
     return [
         ServerUsage(
             server, deployment, target, one.calls, one.programs, one.tokens
         )
-        for (server, deployment, target), one in sorted(sums.items())
+        for (server, deployment, target), one in sorted(totals.items())
     ]
 
 
-def _add(program: Program, place: Callable[[str, str, str], _Sum]) -> None:
+def _add_program(
+    program: Program, find_totals: Callable[[str, str, str], _Totals]
+) -> None:
     account = program.key.account
     for call in program.open.values():
         if call.attempt is not None:
             server = call.attempt.choice.server.server
-            place(account, call.begin.target, server).calls += 1
+            find_totals(account, call.begin.target, server).calls += 1
     if program.ended or not program.last_server:
         return
-    held = place(account, program.last_target, program.last_server)
-    held.programs += 1
-    held.tokens += program.history_tokens
+    cached = find_totals(account, program.last_target, program.last_server)
+    cached.programs += 1
+    cached.tokens += program.history_tokens
