--- a/catkinpin/core/operations/changes.py
+++ b/catkinpin/core/operations/changes.py
@@ -78,7 +78,7 @@
 
     Attributes:
         fingerprint: digest of the request's content.
-        reason: what the crashed servers showed.
+        reason: why the content was quarantined.
     """
 
     fingerprint: bytes
@@ -118,7 +118,7 @@
 
 
 class PlanStopped(Message, frozen=True):
-    """Record: an operator stops a plan after its last completed step."""
+    """Record: an operator stops a plan at its current step."""
 
     at_ms: int
     plan_id: str
@@ -223,7 +223,7 @@
 
 
 class GetInForce(Message, frozen=True):
-    """Asks which processes may still serve under a revision before this."""
+    """Asks which processes may still serve under an older revision."""
 
     ask: int
     revision: int
@@ -288,7 +288,7 @@
 
 
 class StopPlan(Message, frozen=True):
-    """Asks to stop a plan after its last completed step."""
+    """Asks to stop a plan at its current step."""
 
     ask: int
     plan_id: str
--- a/catkinpin/core/operations/control.py
+++ b/catkinpin/core/operations/control.py
@@ -24,9 +24,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# How long the result of a change is kept to answer resends of its request. A
-# later resend is refused because its base revision is out of date, so no change
-# is ever applied twice.
+# A resend gets the stored result of the first request for this long. A later
+# resend is refused because its base revision is out of date, so no change is
+# ever applied twice.
 RESULT_RETENTION_MS = 24 * 3_600_000
 _MAX_TOMBSTONES = 10_000
 _PLAN_RETENTION_MS = 7 * 24 * 3_600_000
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ItemVersion:
-    """An item after its last change; a tombstone (None) if it was removed."""
+    """An item after its last change; `item` is None if it was removed."""
 
     item: Item | None
     revision: int
--- a/catkinpin/core/operations/deployments.py
+++ b/catkinpin/core/operations/deployments.py
@@ -171,7 +171,7 @@
         accounts: accounts by name.
         deployments: deployments ordered by name; the first one that matches a
             call applies to it.
-        drains: drains that apply now.
+        drains: places that get no new work.
     """
 
     def __init__(self, items: Iterable[Item] = ()) -> None:
@@ -188,7 +188,9 @@
                     self.drains.append(item)
         self.deployments.sort(key=lambda deployment: deployment.name)
         self._by_account: dict[str, list[int]] | None = None
-        self._by_name = {one.name: one for one in self.deployments}
+        self._by_name = {
+            deployment.name: deployment for deployment in self.deployments
+        }
 
     def items(self) -> list[Item]:
         """Returns all items."""
--- a/catkinpin/core/operations/leader.py
+++ b/catkinpin/core/operations/leader.py
@@ -98,7 +98,7 @@
         return []
 
     def redirect_waiters(self) -> list[Command]:
-        """Answers all waiting processes that this replica no longer leads."""
+        """Tells all waiting processes that this replica no longer leads."""
         waiters = [*self._waiters.all_waiters(), *self._registering.values()]
         return [
             Send(
@@ -174,10 +174,10 @@
     ) -> list[Command]:
         """Proposes the server facts that differ from the replicated ones."""
         known = self._state.servers
-        new = [one for one in facts if known.get(one.server) != one]
-        if not new:
+        changed = [f for f in facts if known.get(f.server) != f]
+        if not changed:
             return []
-        return [Propose(changes.ServersChanged(at_ms=wall_ms, servers=new))]
+        return [Propose(changes.ServersChanged(at_ms=wall_ms, servers=changed))]
 
     def _renew_lease(
         self, info: changes.ProcessInfo, renew: changes.RenewLease, now_ms: int
@@ -415,13 +415,13 @@
         for plan_id, run, step in waiting:
             newest = max(run.written_revisions.values(), default=0)
             busy = self.leases.find_lagging(newest, now_ms) or any(
-                one.calls for one in usage if reports.waits_for(step, one)
+                use.calls for use in usage if reports.waits_for(step, use)
             )
             if busy:
                 self._idle_since_ms.pop(plan_id, None)
                 continue
-            since = self._idle_since_ms.setdefault(plan_id, now_ms)
-            if now_ms - since >= _MIN_IDLE_MS:
+            idle_since_ms = self._idle_since_ms.setdefault(plan_id, now_ms)
+            if now_ms - idle_since_ms >= _MIN_IDLE_MS:
                 del self._idle_since_ms[plan_id]
                 record = changes.PlanAdvanced(
                     at_ms=wall_ms, plan_id=plan_id, step=run.step
--- a/catkinpin/core/operations/leases.py
+++ b/catkinpin/core/operations/leases.py
@@ -12,11 +12,11 @@
 
     from catkinpin.core.operations.changes import ProcessInfo
 
-# The holder counts it from sending its request and the leader from its answer,
-# which is later. So a lease never expires at the leader while its holder still
-# serves under it.
+# The holder counts a lease from when it sent its request, the leader from when
+# it answered, which is later. So for the leader no lease expires while its
+# holder still serves under it.
 LEASE_MS = 3_000
-# Most by which two monotonic clocks diverge during a lease.
+# Maximum divergence of two monotonic clocks during a lease.
 MAX_CLOCK_DRIFT_MS = 30
 _REMOVE_AFTER_MS = 60_000
 
--- a/catkinpin/core/operations/reports.py
+++ b/catkinpin/core/operations/reports.py
@@ -14,18 +14,20 @@
 
 
 def plan_progress(
-    run: PlanRun, usage: list[plans.ServerUsage], note: str
+    run: PlanRun, usages: list[plans.ServerUsage], note: str
 ) -> plans.PlanProgress:
     """Returns a plan's progress.
 
     Args:
         run: the plan.
-        usage: calls and cached histories on each server.
+        usages: calls and cached histories on each server.
         note: last problem with the plan's orders to engines.
     """
     waits = [s for s in run.steps if isinstance(s, plans.WaitStep)]
-    found = [
-        one for one in usage if any(waits_for(step, one) for step in waits)
+    awaited = [
+        usage
+        for usage in usages
+        if any(waits_for(step, usage) for step in waits)
     ]
     return plans.PlanProgress(
         plan_id=run.plan.plan_id,
@@ -33,8 +35,8 @@
         operator=run.operator or run.plan.operator,
         step=run.step,
         steps=[step.text for step in run.steps],
-        calls_left=sum(one.calls for one in found),
-        programs_left=sum(one.programs for one in found),
+        calls_left=sum(usage.calls for usage in awaited),
+        programs_left=sum(usage.programs for usage in awaited),
         note=note,
     )
 
@@ -73,7 +75,7 @@
         ask=ask,
         revision=state.revision,
         operator=state.last_change.operator,
-        processes=sorted(processes, key=lambda one: one.process),
+        processes=sorted(processes, key=lambda process: process.process),
         servers=[_server_status(view, r) for r in view.servers],
         plans=[
             plan_progress(run, view.usage, order_problem(run.plan.plan_id))
--- a/catkinpin/core/operations/snapshot.py
+++ b/catkinpin/core/operations/snapshot.py
@@ -28,6 +28,8 @@
 
 
 class _Before(codec.Message, frozen=True):
+    """An item before a plan changed it, and the revision of that change."""
+
     key: ItemKey
     item: Item | None
     wrote: int
@@ -89,7 +91,7 @@
             changes.Quarantined(fingerprint=fingerprint, reason=reason)
             for fingerprint, reason in state.quarantine.items()
         ],
-        plans=[_save_run(run) for run in state.plans.values()],
+        plans=[_encode_run(run) for run in state.plans.values()],
     )
     return bytes([FORMAT_VERSION]) + codec.encode(saved)
 
@@ -118,18 +120,22 @@
     state.last_fencing_token = saved.fence
     state.last_change = saved.last
     state.restore_items(
-        (one.key, control.ItemVersion(one.item, one.revision, one.operator))
-        for one in saved.items
+        (item.key, control.ItemVersion(item.item, item.revision, item.operator))
+        for item in saved.items
     )
-    state.change_results = {one.request_id: one.result for one in saved.results}
-    state.processes = {one.incarnation: one for one in saved.processes}
-    state.servers = {one.server: one for one in saved.servers}
-    state.quarantine = {one.fingerprint: one.reason for one in saved.quarantine}
-    state.plans = {one.plan.plan_id: _load_run(one) for one in saved.plans}
+    state.change_results = {
+        result.request_id: result.result for result in saved.results
+    }
+    state.processes = {info.incarnation: info for info in saved.processes}
+    state.servers = {facts.server: facts for facts in saved.servers}
+    state.quarantine = {
+        record.fingerprint: record.reason for record in saved.quarantine
+    }
+    state.plans = {run.plan.plan_id: _decode_run(run) for run in saved.plans}
     return state
 
 
-def _save_run(run: control.PlanRun) -> _Run:
+def _encode_run(run: control.PlanRun) -> _Run:
     return _Run(
         plan=run.plan,
         state=run.state,
@@ -146,14 +152,14 @@
     )
 
 
-def _load_run(saved: _Run) -> control.PlanRun:
+def _decode_run(saved: _Run) -> control.PlanRun:
     return control.PlanRun(
         plan=saved.plan,
         state=saved.state,
         step=saved.step,
         steps=saved.steps,
-        items_before={one.key: one.item for one in saved.before},
-        written_revisions={one.key: one.wrote for one in saved.before},
+        items_before={before.key: before.item for before in saved.before},
+        written_revisions={before.key: before.wrote for before in saved.before},
         fencing_token=saved.fence,
         issued_orders=saved.ordered,
         at_ms=saved.at_ms,
--- a/catkinpin/core/operations/usage.py
+++ b/catkinpin/core/operations/usage.py
@@ -48,9 +48,9 @@
         _add_program(program, find_totals)
     return [
         ServerUsage(
-            server, deployment, target, one.calls, one.programs, one.tokens
+            server, deployment, target, sums.calls, sums.programs, sums.tokens
         )
-        for (server, deployment, target), one in sorted(totals.items())
+        for (server, deployment, target), sums in sorted(totals.items())
     ]
 
 
--- a/catkinpin/core/operations/waiters.py
+++ b/catkinpin/core/operations/waiters.py
@@ -49,11 +49,19 @@
         """Removes and returns all processes that wait for this record.
 
         A request and its resends get the same answer. If each record answered
-        only the oldest waiter, one lost proposal would shift every later answer
+        only the oldest waiter, a lost proposal would shift every later answer
         to the request before it, and each resend would seem lost too.
         """
         waiters = self._waiters.pop(key, [])
-        others = [one for one in waiters if one.discriminator != discriminator]
+        others = [
+            waiter
+            for waiter in waiters
+            if waiter.discriminator != discriminator
+        ]
         if others:
             self._waiters[key] = others
-        return [one for one in waiters if one.discriminator == discriminator]
+        return [
+            waiter
+            for waiter in waiters
+            if waiter.discriminator == discriminator
+        ]
