--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The control group's core: changes, leases, revisions, snapshots."""
+"""Core of the control group: changes, leases, revisions, snapshots."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def change(
     request_id: str, revision: int, *upserts: items.Item, **fields: Any
 ) -> changes.ConfigChanged:
-    """Returns a change whose digest stands for its content."""
+    """Returns a change with a digest of its content."""
     fields.setdefault("at_ms", 0)
     fields.setdefault("operator", "ana")
     digest = repr((upserts, fields["operator"], revision)).encode()
@@ -37,13 +37,14 @@
 
 
 class ChangesTest(base.TestCase):
-    """Operators' changes under races and resends."""
+    """Concurrent and resent changes of operators."""
 
-    def test_one_of_two_operators_under_equal_numbers_wins(self) -> None:
-        """Two operators start from the same revision at the same time.
+    def test_one_of_two_concurrent_changes_wins(self) -> None:
+        """Guards against a lost update when two operators change one revision.
 
-        One change comes into force; the other operator is told by whom, by
-        which request and what was changed, and nothing of hers is in force.
+        The first change is accepted. The second one is refused and has no
+        effect; its result names the operator, the request and the items of
+        the first one.
         """
         state = control.ControlState()
         state.apply(1, change("a", 0, account("ruegg")))
@@ -67,10 +68,11 @@
         self.assertNotIn("other", state.cfg.accounts)
 
     def test_a_resend_gets_the_first_answer(self) -> None:
-        """An operator loses the answer and sends the change again, much later.
+        """Guards against a second application of a change that is resent.
 
-        She gets the first answer, and the change is made once. After a day
-        the answer is forgotten; then she is told that her base has passed.
+        The answer to the change is lost. A resend gets the first answer, also
+        after 20,000 other changes. After a day the answer is dropped, and a
+        resend is refused because its base revision is out of date.
         """
         state = control.ControlState()
         first = state.apply(1, change("a", 0, account("ruegg")))
@@ -78,18 +80,19 @@
             state.apply(2, change(f"x{number}", number + 1, account("kunci")))
         again = state.apply(3, change("a", 0, account("ruegg")))
         self.assertEqual(first, again)
-        late = change(
+        late_resend = change(
             "a", 0, account("ruegg"), at_ms=control.RESULT_RETENTION_MS + 1
         )
-        result = state.apply(4, late)
+        result = state.apply(4, late_resend)
         assert isinstance(result, control.ChangeResult)
         self.assertFalse(result.accepted)
         self.assertEqual(20_001, state.revision)
 
     def test_a_request_id_used_twice_is_told_apart(self) -> None:
-        """Two operators use the same request id for two changes.
+        """Guards against an answer that belongs to another change.
 
-        The second must not take the first one's answer for her own.
+        Two operators use the same request id for different changes. The
+        second one is refused and marked as reusing the id.
         """
         state = control.ControlState()
         state.apply(1, change("a", 0, account("ruegg")))
@@ -99,17 +102,18 @@
         self.assertNotIn("kunci", state.cfg.accounts)
 
     def test_no_revision_goes_back_whatever_is_lost(self) -> None:
-        """Processes miss updates, get them late, twice, or restart.
+        """Guards against processes that go back to an older revision.
 
-        Whatever they miss, their revision never goes back, and the newest
-        update brings each to exactly the newest configuration; replicas that
-        replay the log or restore a snapshot hold the same.
+        Processes miss updates, get them late or twice, or restart. Their
+        revision never decreases, and the latest update gives each of them the
+        current configuration. Replicas that replay the log or restore a
+        snapshot have the same configuration.
         """
         rng = random.Random(4)
         state = control.ControlState()
         replayed = control.ControlState()
         receivers = [configured.Configured() for _ in range(4)]
-        late: list[changes.ConfigUpdate] = []
+        sent_updates: list[changes.ConfigUpdate] = []
         for step in range(400):
             names = [f"a{rng.randrange(30)}" for _ in range(2)]
             record = change(
@@ -125,8 +129,8 @@
             if rng.random() < 0.1:
                 state = snapshot.decode_state(snapshot.encode_state(state))
             for receiver in receivers:
-                late.append(state.update_since(receiver.revision))
-                update = rng.choice(late[-40:])
+                sent_updates.append(state.update_since(receiver.revision))
+                update = rng.choice(sent_updates[-40:])
                 before = receiver.revision
                 receiver.apply_update(update)
                 self.assertGreaterEqual(receiver.revision, before)
@@ -142,9 +146,9 @@
             )
 
     def test_a_snapshot_of_another_format_is_refused(self) -> None:
-        """A replica of another version has written the snapshot.
+        """Guards against a start from a snapshot that can't be decoded.
 
-        The replica says so and does not start on a state it can't read.
+        The snapshot has an unknown format version, or is incomplete.
         """
         data = snapshot.encode_state(control.ControlState())
         self.assertRaises(StorageError, snapshot.decode_state, b"\x09" + data)
@@ -152,27 +156,27 @@
 
 
 class LeasesTest(base.TestCase):
-    """Who may serve under which revision, and for how long."""
+    """Leases to serve under a revision."""
 
     def setUp(self) -> None:
         super().setUp()
         self.state = control.ControlState()
         self.state.apply(1, change("a", 0, account("ruegg")))
-        self.leader = self.elected(0)
+        self.leader = self.elect(0)
         self.entry = changes.ProcessInfo(
             process="entry-1", incarnation="i1", role="entry"
         )
 
-    def elected(self, now_ms: int) -> leader.ControlLeader:
+    def elect(self, now_ms: int) -> leader.ControlLeader:
         """Returns a new leader."""
         return leader.ControlLeader(self.state, now_ms, self.fail)
 
     def renew(self, revision: int, now_ms: int) -> changes.Lease:
-        """Asks for a lease, and registers the entry where that is needed."""
+        """Asks for a lease, and registers the entry if it is not yet."""
         message = changes.RenewLease(ask=1, revision=revision)
         for _ in range(2):
             commands = self.leader.handle(self.entry, message, now_ms, 0)
-            commands = commands or self.run_tick(now_ms)
+            commands = commands or self.commit_proposals(now_ms)
             sent = commands[-1]
             assert isinstance(sent, leader.Send)
             lease = sent.message
@@ -181,8 +185,8 @@
         assert isinstance(lease, changes.Lease)
         return lease
 
-    def run_tick(self, now_ms: int) -> list[Any]:
-        """Commits what the leader proposes."""
+    def commit_proposals(self, now_ms: int) -> list[Any]:
+        """Commits the leader's proposals; returns its answers."""
         answers = []
         for command in self.leader.tick(now_ms, 0):
             assert isinstance(command, leader.Propose)
@@ -192,16 +196,16 @@
             )
         return answers
 
-    def lacking(self, revision: int, now_ms: int) -> list[str]:
-        """Returns who lacks a revision."""
+    def lagging_processes(self, revision: int, now_ms: int) -> list[str]:
+        """Returns the processes that have not confirmed a revision."""
         found = self.leader.leases.find_lagging(revision, now_ms)
         return [one.process for one in found]
 
     def test_a_lease_only_under_the_newest_revision(self) -> None:
-        """A process has missed a change.
+        """Guards against a lease for a process that has missed a change.
 
-        It gets the change in place of a lease, and a lease once it has
-        confirmed; until then the change does not count as in force.
+        The process gets the change instead of a lease, and a lease once it
+        has confirmed the change. Until then the change is not in force.
         """
         self.assertEqual(LEASE_MS, self.renew(1, 100).lease_ms)
         self.state.apply(2, change("b", 1, account("kunci")))
@@ -209,44 +213,46 @@
         self.assertEqual(0, lease.lease_ms)
         assert lease.update is not None
         self.assertEqual((1, 2), (lease.update.base, lease.update.revision))
-        self.assertEqual(["entry-1"], self.lacking(2, 300))
+        self.assertEqual(["entry-1"], self.lagging_processes(2, 300))
         self.assertEqual(LEASE_MS, self.renew(2, 400).lease_ms)
-        self.assertEqual([], self.lacking(2, 400))
+        self.assertEqual([], self.lagging_processes(2, 400))
 
     def test_a_change_is_in_force_once_the_lease_of_a_silent_one_lapses(
         self,
     ) -> None:
-        """A process is frozen when a change comes.
+        """Guards against a change that is in force too early.
 
-        The change counts as in force once that process can't serve any more,
-        and not before.
+        A process is frozen when a change is made. The change is in force once
+        the process's lease has expired, and not before.
         """
         self.renew(1, 100)
         self.state.apply(2, change("b", 1, account("kunci")))
         end = 100 + LEASE_MS + MAX_CLOCK_DRIFT_MS
-        self.assertEqual(["entry-1"], self.lacking(2, end - 1))
-        self.assertEqual([], self.lacking(2, end))
+        self.assertEqual(["entry-1"], self.lagging_processes(2, end - 1))
+        self.assertEqual([], self.lagging_processes(2, end))
 
     def test_a_new_leader_knows_who_may_hold_a_lease(self) -> None:
-        """The control leader dies right after it has given a lease.
+        """Guards against leases that are forgotten in a change of leader.
 
-        The next one has never heard of that process's lease; a change must
-        still not count as in force while it runs.
+        The control leader dies right after it has granted a lease, of which
+        its successor does not know. A change must not be in force before that
+        lease has expired.
         """
         self.renew(1, 100)
-        self.leader = self.elected(1_000)
+        self.leader = self.elect(1_000)
         self.state.apply(2, change("b", 1, account("kunci")))
-        self.assertEqual(["entry-1"], self.lacking(2, 100 + LEASE_MS))
+        self.assertEqual(["entry-1"], self.lagging_processes(2, 100 + LEASE_MS))
         self.assertEqual(
-            [], self.lacking(2, 1_000 + LEASE_MS + MAX_CLOCK_DRIFT_MS)
+            [], self.lagging_processes(2, 1_000 + LEASE_MS + MAX_CLOCK_DRIFT_MS)
         )
 
     def test_a_lost_proposal_does_not_take_the_answer_of_its_resend(
         self,
     ) -> None:
-        """The record of a change is lost, and its operator sends it again.
+        """Guards against an answer that only the first request gets.
 
-        The resend gets the answer; it must not go to the request before.
+        The record of a change is lost, and its operator sends the change
+        again. The resend must get the answer to its record.
         """
         for ask in (7, 8):
             message = changes.Apply(ask=ask, request_id="b", base_revision=1)
@@ -259,7 +265,7 @@
         self.assertIn(8, asks)
 
     def test_idle_renewals_write_nothing(self) -> None:
-        """Nothing happens for an hour but renewals of leases."""
+        """Guards against log records of lease renewals, here during an hour."""
         self.renew(1, 100)
         for now in range(200, 3_600_000, 1_000):
             self.renew(1, now)
@@ -267,13 +273,13 @@
 
 
 class ConfigurationTest(base.TestCase):
-    """Files that operators hand in."""
+    """Configuration files of operators."""
 
     def test_all_errors_at_once_with_field_and_value(self) -> None:
-        """An operator's file has several mistakes.
+        """Guards against answers that name only the first of several errors.
 
-        She gets all of them in one answer, each with its field, the value and
-        what is allowed; nothing changes.
+        The answer to a configuration file with several errors names each with
+        its field, the value and what is allowed.
         """
         text = """
             [[accounts]]
@@ -293,7 +299,7 @@
         error = self.assertRaises(
             BadRequestError, configuration.parse, text.encode()
         )
-        for wanted in (
+        for expected in (
             "accounts.0.key_sha256",
             "deployments.0.targets",
             "deployments.0.accounts: an account of this configuration is"
@@ -306,7 +312,7 @@
             "limits.calls_per_second",
             "limits.queue: Input should be greater than or equal to 0, got -1",
         ):
-            self.assertIn(wanted, str(error))
+            self.assertIn(expected, str(error))
 
     def test_what_is_neither_toml_nor_json_is_refused(self) -> None:
         for content in (
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' commands against real processes."""
+"""Operators' commands against running processes."""
 
 from __future__ import annotations
 
@@ -17,10 +17,19 @@
 
 
 async def command(entry: str, *args: Any, code: int | None = 0) -> Any:
-    """Runs `catkinpin`; returns what it printed, parsed, and its exit code."""
-    shown = ["--entry", f"http://{entry}", "--operator-key", base.OPERATOR_KEY]
+    """Runs `catkinpin` with the arguments and returns its parsed output.
+
+    If `code` is None, returns the output and the exit code; otherwise fails
+    if the exit code differs from `code`.
+    """
+    options = [
+        "--entry",
+        f"http://{entry}",
+        "--operator-key",
+        base.OPERATOR_KEY,
+    ]
     process = await asyncio.create_subprocess_exec(
-        *[sys.executable, "-m", "catkinpin", *map(str, args), *shown],
+        *[sys.executable, "-m", "catkinpin", *map(str, args), *options],
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
         cwd=processes.ROOT,
@@ -34,8 +43,8 @@
     return (body, process.returncode) if code is None else body
 
 
-async def leader_of(cluster: base.Cluster) -> str:
-    """Waits until one replica leads the control group."""
+async def find_control_leader(cluster: base.Cluster) -> str:
+    """Waits until a replica leads the control group; returns its name."""
 
     async def find() -> str:
         for name in cluster.admin:
@@ -51,30 +60,34 @@
 
 
 class OperatorsTest(base.TestCase):
-    """Changes and plans as operators make them."""
+    """Changes and plans that operators make with commands."""
 
-    def write(self, name: str, content: str) -> pathlib.Path:
-        """Writes a configuration and returns its path."""
+    def write_config(self, name: str, content: str) -> pathlib.Path:
+        """Writes a configuration file and returns its path."""
         path = self.folder / name
         path.write_text(content)
         return path
 
     def test_two_operators_race(self) -> None:
-        """Two operators apply from the same revision at the same time.
+        """Guards against a lost update when two operators change one revision.
 
-        One wins; the other's command fails with the conflict's exit code and
-        names the winner, her request and what she changed.
+        Both apply a change at the same time. One change is accepted; the other
+        command fails with the exit code for a conflict and shows the operator,
+        the request and the items of the accepted change.
         """
-        self.run_async(self._race())
+        self.run_async(self._apply_concurrently())
 
-    async def _race(self) -> None:
+    async def _apply_concurrently(self) -> None:
         cluster = await base.small(self.folder, entries=2)
         async with cluster:
             results = await asyncio.gather(
                 *[
                     command(
                         entry,
-                        *("apply", self.write(name, base.config(tokens))),
+                        *(
+                            "apply",
+                            self.write_config(name, base.config(tokens)),
+                        ),
                         *("--base", 1, "--operator", name, "--json"),
                         *("--request-id", f"change-of-{name}"),
                         code=None,
@@ -92,24 +105,24 @@
             self.assertEqual(["deployment all"], lost["changed"])
 
     def test_resend_after_a_lost_answer(self) -> None:
-        """The answer to a change is lost on its way back to the operator.
+        """Guards against a second application of a change that is resent.
 
-        The command says that the outcome is not known and with which id to
-        send it again; the resend gets the first answer and changes nothing
-        more.
+        The answer to a change is lost, and the command reports an unknown
+        outcome and the request id for a resend. The resends get the first
+        answer and change nothing.
         """
-        self.run_async(self._resend())
+        self.run_async(self._resend_change())
 
-    async def _resend(self) -> None:
+    async def _resend_change(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
-            through = cluster.add_proxy("proxy", cluster.entries[0])
+            proxied_entry = cluster.add_proxy("proxy", cluster.entries[0])
             await cluster.steer("proxy", down_silent=True)
-            file = self.write("new.toml", base.config(500))
+            file = self.write_config("new.toml", base.config(500))
             args = ("apply", file, "--base", 1, "--json", "--request-id", "r")
-            await command(through, *args, "--timeout-ms", 1500, code=5)
+            await command(proxied_entry, *args, "--timeout-ms", 1500, code=5)
             await cluster.steer("proxy", down_silent=False)
-            first = await command(through, *args)
+            first = await command(proxied_entry, *args)
             again = await command(cluster.entries[0], *args)
             self.assertEqual((True, 2), (first["accepted"], first["revision"]))
             self.assertEqual(first, again)
@@ -117,22 +130,25 @@
             self.assertEqual(2, shown["revision"])
 
     def test_a_frozen_entry_never_serves_an_old_configuration(self) -> None:
-        """An entry is frozen while an operator withdraws an account's key.
+        """Guards against a withdrawn key that still works at some entry.
 
-        The command names the entry until its lease has lapsed. Once the entry
-        runs again it refuses calls as not run until it has confirmed the new
-        configuration; the withdrawn key never works again.
+        An entry is frozen while an operator withdraws an account's key. The
+        command names the entry until its lease has expired. Once the entry
+        runs again, it refuses calls as not run until it has confirmed the new
+        configuration, and the key as unauthorized from then on.
         """
-        self.run_async(self._frozen())
+        self.run_async(self._withdraw_key_from_frozen_entry())
 
-    async def _frozen(self) -> None:
+    async def _withdraw_key_from_frozen_entry(self) -> None:
         cluster = await base.small(self.folder, entries=2)
         async with cluster:
-            frozen = cluster.processes["entry-2"]
-            frozen.signal(signal.SIGSTOP)
+            frozen_entry = cluster.processes["entry-2"]
+            frozen_entry.signal(signal.SIGSTOP)
             digest = configuration.key_digest(base.ACCOUNT_KEYS["ruegg"])
             other = configuration.key_digest("a new key")
-            file = self.write("b.toml", base.config().replace(digest, other))
+            file = self.write_config(
+                "b.toml", base.config().replace(digest, other)
+            )
             args = (
                 *("apply", file, "--base", 1, "--wait", "--json"),
                 *("--request-id", "withdraw"),
@@ -149,7 +165,7 @@
                 for i in range(5)
             ]
             await command(cluster.entries[0], *args)
-            frozen.signal(signal.SIGCONT)
+            frozen_entry.signal(signal.SIGCONT)
             seen = set()
             while 401 not in seen:
                 reply = await cluster.chat(
@@ -162,18 +178,19 @@
                 self.assertEqual("not-run", reply.verdict)
 
     def test_the_control_leader_dies_after_a_change(self) -> None:
-        """The control leader is killed right after a change was accepted.
+        """Guards against a change that is lost or repeated with its leader.
 
-        A resend gets the first answer from its successor, the change comes
-        into force everywhere, and calls are answered all the while.
+        The control leader is killed right after it has accepted a change. A
+        resend gets the first answer from its successor, the change is in force
+        everywhere, and a call meanwhile is answered.
         """
-        self.run_async(self._leader_dies())
+        self.run_async(self._kill_leader())
 
-    async def _leader_dies(self) -> None:
+    async def _kill_leader(self) -> None:
         cluster = await base.small(self.folder, replicas=3)
         async with cluster:
-            leader = await leader_of(cluster)
-            file = self.write("new.toml", base.config(500_000))
+            leader = await find_control_leader(cluster)
+            file = self.write_config("new.toml", base.config(500_000))
             args = ("apply", file, "--base", 1, "--json", "--request-id", "r")
             first = await command(cluster.entries[0], *args)
             cluster.processes[leader].kill()
@@ -188,26 +205,27 @@
             self.assertEqual(2, shown["revision"])
 
     def test_a_drain_by_plan_cuts_no_call(self) -> None:
-        """An operator drains a backend server by a plan while calls run.
+        """Guards against calls that fail because of a drain.
 
-        After two seconds the server gets no new work; no call is cut or
-        refused, and the plan ends. Undone, the server gets work again.
+        An operator drains a backend server with a plan while calls run. Once
+        the plan is done, and two seconds after its confirmation, the server
+        gets no new work. After the undo it does again. All calls are answered.
         """
-        self.run_async(self._drain())
+        self.run_async(self._drain_server())
 
-    async def _drain(self) -> None:
+    async def _drain_server(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             cluster.add_fake("engine", "engine-2", token_ms=20)
             entry = cluster.entries[0]
-            got: list[replies.Reply] = []
+            answers: list[replies.Reply] = []
             stop = asyncio.Event()
 
-            async def load(number: int) -> None:
+            async def send_calls(number: int) -> None:
                 turn = 0
                 while not stop.is_set():
                     turn += 1
-                    got.append(
+                    answers.append(
                         await cluster.chat(
                             "entry-1",
                             "berater",
@@ -215,92 +233,95 @@
                         )
                     )
 
-            tasks = [asyncio.create_task(load(n)) for n in range(6)]
+            tasks = [asyncio.create_task(send_calls(n)) for n in range(6)]
 
-            async def seen() -> int:
+            async def count_requests() -> int:
                 return len((await cluster.look("engine-2"))["seen"])
 
-            async def busy() -> bool:
-                return await seen() > 5
+            async def has_work() -> bool:
+                return await count_requests() > 5
 
-            await base.until(busy, "engine-2 has work")
+            await base.until(has_work, "engine-2 has work")
             made = await command(
                 entry, "plan", "drain", "server", "engine-2", "--json"
             )
             plan_id = made["plan"]["plan_id"]
             self.assertEqual(["engine-1"], made["plan"]["rest"])
             await command(entry, "confirm", plan_id)
-            since = time.monotonic()
+            confirmed_s = time.monotonic()
 
-            async def done() -> Any:
+            async def plan_is_done() -> Any:
                 body = await command(entry, "status", "--json")
                 states = {p["plan_id"]: p["state"] for p in body["plans"]}
                 return states[plan_id] == "done" and body
 
-            body = await base.until(done, "the plan is done")
-            await asyncio.sleep(max(0.0, since + 2 - time.monotonic()))
-            before, served = await seen(), len(got)
-            while len(got) < served + 20:
+            body = await base.until(plan_is_done, "the plan is done")
+            await asyncio.sleep(max(0.0, confirmed_s + 2 - time.monotonic()))
+            before, served = await count_requests(), len(answers)
+            while len(answers) < served + 20:
                 await asyncio.sleep(0.05)
-            self.assertEqual(before, await seen())
+            self.assertEqual(before, await count_requests())
             states = {s["server"]: s["state"] for s in body["servers"]}
             self.assertEqual("drained", states["engine-2"])
             await command(entry, "undo", plan_id)
 
-            async def again() -> bool:
-                return await seen() > before
+            async def has_new_work() -> bool:
+                return await count_requests() > before
 
-            await base.until(again, "engine-2 has work again")
+            await base.until(has_new_work, "engine-2 has work again")
             stop.set()
             await asyncio.gather(*tasks)
-            self.assertEqual({200}, {reply.status for reply in got})
+            self.assertEqual({200}, {reply.status for reply in answers})
 
     def test_a_new_version_is_ordered_with_a_fencing_token(self) -> None:
-        """An operator brings a new version to a model's servers.
+        """Guards against orders that engines miss, repeat or mix up.
 
-        Each engine gets the order once, with a rising fencing token, while it
-        has no work; undone, it gets the old version back. A plan whose base
-        has changed is refused with what has changed.
+        An operator loads a new version on a model's servers. Each engine gets
+        the order once, while it runs no call and with an increasing fencing
+        token, and after the undo an order for the old version. A second plan,
+        whose base has changed, is refused and names the operator of the change.
         """
-        self.run_async(self._version())
+        self.run_async(self._load_version())
 
-    async def _version(self) -> None:
+    async def _load_version(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             entry = cluster.entries[0]
             cluster.add_fake("engine", "engine-2", honours_fencing=1)
 
-            async def known() -> bool:
+            async def knows_all_servers() -> bool:
                 body = await command(entry, "status", "--json")
                 return len(body["servers"]) == 3
 
-            await base.until(known, "all servers are known")
-            wish = ("plan", "version", "all", "berater", "v2", "--json")
-            plan_id = (await command(entry, *wish))["plan"]["plan_id"]
-            other = (await command(entry, *wish))["plan"]["plan_id"]
+            await base.until(knows_all_servers, "all servers are known")
+            args = ("plan", "version", "all", "berater", "v2", "--json")
+            plan_id = (await command(entry, *args))["plan"]["plan_id"]
+            other = (await command(entry, *args))["plan"]["plan_id"]
             await command(entry, "confirm", plan_id, "--operator", "ana")
 
-            async def orders() -> list[Any]:
+            async def list_orders() -> list[Any]:
                 found = []
                 for name in ("engine-1", "engine-2"):
                     found += (await cluster.look(name))["orders"]
                 return found
 
-            async def ordered() -> bool:
+            async def plan_is_done() -> bool:
                 body = await command(entry, "status", "--json")
                 states = {p["plan_id"]: p["state"] for p in body["plans"]}
                 return bool(states[plan_id] == "done")
 
-            await base.until(ordered, "both engines have the version")
-            first = [(one["version"], one["fence"]) for one in await orders()]
+            await base.until(plan_is_done, "both engines have the version")
+            first = [
+                (one["version"], one["fence"]) for one in await list_orders()
+            ]
             self.assertEqual([("v2", 1), ("v2", 2)], first)
             refused = await command(entry, "confirm", other, "--json", code=4)
             self.assertIn("by ana", refused["problems"][0])
             await command(entry, "undo", plan_id)
 
-            async def undone() -> bool:
-                return len(await orders()) == 4
+            async def has_all_orders() -> bool:
+                return len(await list_orders()) == 4
 
-            await base.until(undone, "both engines went back")
-            last = [one["version"] for one in await orders()]
+            await base.until(has_all_orders, "both engines went back")
+            last = [one["version"] for one in await list_orders()]
             self.assertEqual(["v2", "", "v2", ""], last)
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Plans in the core: forecasts, confirmation, stop, undo, orders."""
+"""Core of plans: forecasts, confirmation, stop, undo, orders."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def server(name: str, region: str = "ch-nord", **fields: Any) -> ServerReport:
-    """Returns the report of a model's server with room for four calls."""
+    """Returns the report of a model server with a capacity of four calls."""
     return ServerReport(
         server=name,
         incarnation="1",
@@ -26,15 +26,15 @@
     )
 
 
-class Plans(base.TestCase):
-    """A deployment on three servers in two regions."""
+class PlansTestCase(base.TestCase):
+    """Base class: a deployment on three servers in two regions."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.begin()
+        self.set_up_state()
 
-    def begin(self) -> None:
-        """Begins with a system in which no plan has been made."""
+    def set_up_state(self) -> None:
+        """Sets up a state without plans."""
         self.state = control.ControlState()
         self.advice = items.Deployment(name="advice", targets=["berater"])
         self.change(self.advice, items.Account(name="a", key_sha256="0"))
@@ -46,7 +46,7 @@
         self.usage = [plans.ServerUsage("s1", "advice", "berater", 2, 3, 900)]
 
     def change(self, *upserts: items.Item, operator: str = "ben") -> None:
-        """Makes an operator's change."""
+        """Applies a change of an operator."""
         record = changes.ConfigChanged(
             at_ms=0,
             request_id=str(self.state.revision),
@@ -56,15 +56,15 @@
         )
         self.state.apply(0, record)
 
-    def made(self, intent: plans.Intent) -> plans.Plan:
-        """Makes a plan."""
-        plan = drafts.make_plan("p", intent, "ana", self.facts())
+    def make_plan(self, intent: plans.Intent) -> plans.Plan:
+        """Makes a plan and applies its record."""
+        plan = drafts.make_plan("p", intent, "ana", self.cluster_view())
         assert isinstance(plan, plans.Plan), plan
         self.state.apply(0, changes.PlanMade(at_ms=0, plan=plan))
         return plan
 
-    def facts(self) -> plans.ClusterView:
-        """Returns what is known now."""
+    def cluster_view(self) -> plans.ClusterView:
+        """Returns the current configuration, servers and programs."""
         return plans.ClusterView(
             cfg=self.state.cfg,
             revision=self.state.revision,
@@ -73,22 +73,22 @@
             usage=self.usage,
         )
 
-    def act(self, kind: Any) -> Any:
-        """Applies an operator's word about the plan."""
+    def apply_to_plan(self, kind: Any) -> Any:
+        """Applies an operator's record for the plan; returns the problems."""
         return self.state.apply(0, kind(at_ms=0, plan_id="p"))
 
-    def advance(self) -> None:
-        """Ends the step under way."""
+    def advance_plan(self) -> None:
+        """Ends the current step."""
         step = self.state.plans["p"].step
         record = changes.PlanAdvanced(at_ms=0, plan_id="p", step=step)
         self.state.apply(0, record)
 
 
-class PlansTest(Plans):
-    """What operators plan, confirm, stop and undo."""
+class PlansTest(PlansTestCase):
+    """Plans that operators make, confirm, stop and undo."""
 
     def test_the_forecast_of_a_move(self) -> None:
-        plan = self.made(plans.Move(deployment="advice", off=["s1"]))
+        plan = self.make_plan(plans.Move(deployment="advice", off=["s1"]))
         loads = [(one.server, one.after) for one in plan.forecast.loads]
         self.assertEqual([("s2", 0.75), ("s3", 0.25)], loads)
         self.assertEqual(
@@ -104,78 +104,81 @@
 
     def test_the_forecast_of_draining_a_region_and_all(self) -> None:
         region = plans.DrainPlace(scope="region", name="ch-nord")
-        forecast = self.made(region).forecast
+        forecast = self.make_plan(region).forecast
         self.assertEqual(900 * plans.BYTES_PER_TOKEN, forecast.link_bytes)
         everything = plans.Move(deployment="advice", off=["s1", "s2", "s3"])
-        made = drafts.make_plan("q", everything, "", self.facts())
-        assert isinstance(made, plans.Plan)
-        self.assertIn("every call of advice", made.forecast.refused[0])
+        planned = drafts.make_plan("q", everything, "", self.cluster_view())
+        assert isinstance(planned, plans.Plan)
+        self.assertIn("every call of advice", planned.forecast.refused[0])
 
     def test_a_plan_acts_only_while_its_base_holds(self) -> None:
-        """An operator changes the deployment after another made a plan.
+        """Guards against a plan that overwrites a later change.
 
-        The plan is refused with what has changed; a change of something else
-        does not stop it.
+        An operator changes the deployment after another has made a plan for
+        it. Confirming the plan is refused with the change; a change of another
+        item does not prevent it.
         """
-        self.made(plans.Move(deployment="advice", off=["s1"]))
+        self.make_plan(plans.Move(deployment="advice", off=["s1"]))
         self.change(items.Account(name="other", key_sha256="1"))
         kept = snapshot.decode_state(snapshot.encode_state(self.state))
         raised = items.Deployment(name="advice", targets=["berater"])
         self.change(raised)
-        [problem] = self.act(changes.PlanConfirmed)
+        [problem] = self.apply_to_plan(changes.PlanConfirmed)
         self.assertIn("deployment advice: changed at revision 3 by", problem)
         self.assertTrue(self.state.cfg.allows("advice", self.servers[0]))
         self.state = kept
-        self.assertEqual([], self.act(changes.PlanConfirmed))
+        self.assertEqual([], self.apply_to_plan(changes.PlanConfirmed))
         self.assertFalse(self.state.cfg.allows("advice", self.servers[0]))
         revision = self.state.revision
-        self.assertEqual([], self.act(changes.PlanConfirmed))
+        self.assertEqual([], self.apply_to_plan(changes.PlanConfirmed))
         self.assertEqual(revision, self.state.revision)
 
     def test_stop_and_undo_at_every_step(self) -> None:
-        """An operator thinks better of a new version, at whatever step.
+        """Guards against an undo that leaves a part of a plan in place.
 
-        Undone, the configuration is as before, and each engine that may have
-        got the order gets the old version back; a replica that restores a
-        snapshot in between goes on alike.
+        An operator undoes the plan of a new version at each of its steps. The
+        configuration is as before, and each engine that may have got the
+        order gets an order for the old version. A replica that restores a
+        snapshot in between does the same.
         """
         before = self.state.cfg.items()
-        wish = plans.NewVersion(
+        intent = plans.NewVersion(
             deployment="advice", target="berater", version="v2"
         )
         for steps in range(12):
-            self.begin()
-            plan = self.made(wish)
-            self.act(changes.PlanConfirmed)
+            self.set_up_state()
+            plan = self.make_plan(intent)
+            self.apply_to_plan(changes.PlanConfirmed)
             for _ in range(steps):
-                self.advance()
+                self.advance_plan()
             saved = snapshot.encode_state(self.state)
             self.state = snapshot.decode_state(saved)
             self.assertEqual(saved, snapshot.encode_state(self.state))
             run = self.state.plans["p"]
             ordered = len(run.issued_orders)
             if run.state is not plans.PlanState.DONE:
-                self.assertEqual([], self.act(changes.PlanStopped))
-            self.assertEqual([], self.act(changes.PlanUndone))
+                self.assertEqual([], self.apply_to_plan(changes.PlanStopped))
+            self.assertEqual([], self.apply_to_plan(changes.PlanUndone))
             self.assertEqual(before, self.state.cfg.items())
             for _ in range(ordered):
                 step = self.state.plans["p"].current_step()
                 assert isinstance(step, plans.OrderStep)
                 self.assertIn(b'"version": ""', step.order)
-                self.advance()
+                self.advance_plan()
             self.assertIs(plans.PlanState.UNDONE, self.state.plans["p"].state)
         self.assertEqual(3, ordered)
         self.assertEqual(13, len(plan.steps))
 
     def test_undo_tells_who_changed_the_same(self) -> None:
-        """Another operator has changed the deployment after the plan ran.
+        """Guards against an undo that overwrites a later change.
 
-        Undoing would throw her change away; it is refused and names her.
+        Another operator changes the deployment after the plan ran. The undo
+        is refused and names that operator.
         """
-        self.made(plans.Move(deployment="advice", off=["s1"]))
-        self.act(changes.PlanConfirmed)
+        self.make_plan(plans.Move(deployment="advice", off=["s1"]))
+        self.apply_to_plan(changes.PlanConfirmed)
         self.change(self.advice, operator="eva")
-        [problem] = self.act(changes.PlanUndone)
+        [problem] = self.apply_to_plan(changes.PlanUndone)
         self.assertIn("by eva", problem)
 
     def test_what_can_not_be_planned_names_its_field(self) -> None:
@@ -186,16 +189,16 @@
             (plans.SetBudget(deployment="advice"), "tokens"),
             (plans.Undrain(scope="server", name="s1"), "name"),
         ):
-            made = drafts.make_plan("q", intent, "", self.facts())
-            assert isinstance(made, plans.InvalidIntent)
-            self.assertTrue(made.problems[0].startswith(field))
+            planned = drafts.make_plan("q", intent, "", self.cluster_view())
+            assert isinstance(planned, plans.InvalidIntent)
+            self.assertTrue(planned.problems[0].startswith(field))
 
 
-class OrdersTest(Plans):
-    """Orders to engines, with and without a check of fencing tokens."""
+class OrdersTest(PlansTestCase):
+    """Orders to engines that check fencing tokens or ignore them."""
 
-    def order_due(self, honours_fencing: bool) -> None:
-        """Brings a plan to its first order."""
+    def start_order(self, honours_fencing: bool) -> None:
+        """Runs a plan up to its first order."""
         self.servers = [server("s1")]
         self.usage = []
         facts = changes.ServerFacts(
@@ -205,50 +208,53 @@
             honours_fencing=honours_fencing,
         )
         self.state.apply(0, changes.ServersChanged(at_ms=0, servers=[facts]))
-        wish = plans.NewVersion(
+        intent = plans.NewVersion(
             deployment="advice", target="berater", version="v2"
         )
-        self.made(wish)
-        self.act(changes.PlanConfirmed)
-        self.advance()
+        self.make_plan(intent)
+        self.apply_to_plan(changes.PlanConfirmed)
+        self.advance_plan()
 
-    def claim(self, orders: Orders, now_ms: int) -> changes.OrderLease:
-        """Asks whether the order may be sent."""
+    def claim_order(self, orders: Orders, now_ms: int) -> changes.OrderLease:
+        """Claims the order of the current step."""
         step = self.state.plans["p"].step
         message = changes.OrderClaim(ask=1, plan_id="p", step=step)
         return orders.grant_claim(message, now_ms)
 
     def test_a_successor_waits_for_an_engine_that_ignores_tokens(self) -> None:
-        """The control leader dies while an order is on its way.
+        """Guards against orders that reach an engine in the wrong order.
 
-        The next one must not send another before the old one can't arrive any
-        more: the engine would take the old one last and keep the old model.
+        The control leader dies while an order is on its way. If its successor
+        sent another before the first one's claim has expired, an engine that
+        ignores fencing tokens could carry out the old order last and keep the
+        old model.
         """
-        self.order_due(honours_fencing=False)
+        self.start_order(honours_fencing=False)
         orders = Orders(self.state, 1_000)
         self.assertEqual([], orders.take_due_offers(1_000 + CLAIM_MS))
-        self.assertEqual(0, self.claim(orders, 1_000 + CLAIM_MS).valid_ms)
+        self.assertEqual(0, self.claim_order(orders, 1_000 + CLAIM_MS).valid_ms)
         later = 1_100 + CLAIM_MS
         self.assertEqual(1, len(orders.take_due_offers(later)))
-        self.assertEqual(CLAIM_MS, self.claim(orders, later).valid_ms)
+        self.assertEqual(CLAIM_MS, self.claim_order(orders, later).valid_ms)
 
     def test_one_order_at_a_time(self) -> None:
-        """Two entries are asked to carry one order, or an answer is lost.
+        """Guards against an order that two entries send at the same time.
 
-        Only one of them sends it, until its claim has run out.
+        Two entries are offered the order, or an answer is lost. Only one
+        entry may send the order until its claim has expired.
         """
-        self.order_due(honours_fencing=True)
+        self.start_order(honours_fencing=True)
         orders = Orders(self.state, 1_000)
         self.assertEqual(1, len(orders.take_due_offers(1_000)))
-        lease = self.claim(orders, 1_000)
+        lease = self.claim_order(orders, 1_000)
         self.assertEqual((CLAIM_MS, 1), (lease.valid_ms, lease.fence))
-        self.assertEqual(0, self.claim(orders, 1_010).valid_ms)
+        self.assertEqual(0, self.claim_order(orders, 1_010).valid_ms)
         self.assertEqual([], orders.take_due_offers(2_500))
         self.assertEqual(1, len(orders.take_due_offers(1_100 + CLAIM_MS)))
 
     def test_an_order_that_was_stopped_is_not_sent(self) -> None:
-        """An operator stops the plan while an entry is about to send."""
-        self.order_due(honours_fencing=True)
+        """Guards against an order that is sent after its plan was stopped."""
+        self.start_order(honours_fencing=True)
         orders = Orders(self.state, 1_000)
-        self.act(changes.PlanStopped)
-        self.assertEqual(0, self.claim(orders, 1_000).valid_ms)
+        self.apply_to_plan(changes.PlanStopped)
+        self.assertEqual(0, self.claim_order(orders, 1_000).valid_ms)
