--- a/catkinpin/core/messages.py
+++ b/catkinpin/core/messages.py
@@ -95,7 +95,7 @@
         kind: `model` or `service`.
         target: name of the model or service.
         idempotent: whether the call may be dispatched more than once.
-        deadline_ms: time in which the caller expects the answer.
+        deadline_ms: time for which the caller still waits for the answer.
         fingerprint: digest of the request's content.
         whole: whether `digests` cover the history from its start.
         digests: a digest for each message of the request.
--- a/catkinpin/core/operations/drafts.py
+++ b/catkinpin/core/operations/drafts.py
@@ -38,7 +38,7 @@
 def make_plan(
     plan_id: str, intent: Intent, operator: str, view: ClusterView
 ) -> Plan | InvalidIntent:
-    """Returns the plan that carries out an intent."""
+    """Returns the plan for an intent, or why the intent is invalid."""
     draft = _make_draft(intent, view)
     if isinstance(draft, InvalidIntent):
         return draft
--- a/catkinpin/core/operations/orders.py
+++ b/catkinpin/core/operations/orders.py
@@ -38,7 +38,7 @@
         self._problems: dict[str, str] = {}
 
     def take_due_offers(self, now_ms: int) -> list[changes.OrderOffer]:
-        """Returns the orders to offer to an entry now, and notes the offers."""
+        """Returns the orders to offer now and records when they are offered."""
         offers = []
         for plan_id, run in self._state.plans.items():
             step = run.current_step()
--- a/catkinpin/core/operations/plans.py
+++ b/catkinpin/core/operations/plans.py
@@ -145,7 +145,7 @@
 
 
 class BaseItem(Message, frozen=True):
-    """An item that a plan depends on, and its revision at that time."""
+    """An item that a plan depends on and its revision in that plan."""
 
     key: ItemKey
     revision: int
@@ -157,7 +157,8 @@
     Attributes:
         revision: revision of the configuration that the plan was made from.
         base: items that must be unchanged when the plan is confirmed.
-        rest: servers that the forecast needs to stay in use.
+        rest: servers that the forecast relies on; none of them may have left
+            when the plan is confirmed.
     """
 
     plan_id: str
