--- a/bench/corebench.py
+++ b/bench/corebench.py
@@ -47,7 +47,7 @@
                 cache_tokens=1_000_000,
             )
             view.report(report, 0)
-            self.leader.reported(report, 0)
+            self.leader.handle_report(report, 0)
 
     def act(self, found: list[commands.Command]) -> list[messages.Granted]:
         """Commits what is proposed; returns the grants."""
@@ -59,7 +59,7 @@
                 record = _decoder.decode(codec.encode(command.record))
                 self.index += 1
                 effects = self.state.apply(self.index, record)
-                waiting += self.leader.applied(record, effects, 1, 1)
+                waiting += self.leader.handle_applied(record, effects, 1, 1)
             elif isinstance(command, commands.Send) and isinstance(
                 command.message, messages.Granted
             ):
--- a/bench/shardcost.py
+++ b/bench/shardcost.py
@@ -142,7 +142,7 @@
             record = _decoder.decode(payload)
             self._index += 1
             effects = self._state.apply(self._index, record)
-            queue += self._leader.applied(record, effects, 0, 0)
+            queue += self._leader.handle_applied(record, effects, 0, 0)
             between = time.perf_counter()
             self._copy.apply(self._index, _decoder.decode(payload))
             self.spent.follower_s += time.perf_counter() - between
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -51,7 +51,7 @@
     prices = candidates.Prices()
     return scheduler.Scheduler(
         view,
-        candidates.by_cost(prices, note=explanations.Decisions().note),
+        candidates.by_cost(prices, note=explanations.RecentDecisions().add),
         scheduler.WaitPlan(),
         candidates.keeps_home(prices),
     )
--- a/catkinpin/adapters/entry/relays.py
+++ b/catkinpin/adapters/entry/relays.py
@@ -171,7 +171,7 @@
     ) -> None:
         self._dispatcher = dispatcher
         self._report = report
-        self._histories = texts.Histories(max_bytes)
+        self._histories = texts.HistoryCache(max_bytes)
         self.running: set[asyncio.Task[None]] = set()
 
     def handle(self, stream: links.Stream, message: messages.Dispatch) -> None:
--- a/catkinpin/adapters/keeper/host.py
+++ b/catkinpin/adapters/keeper/host.py
@@ -277,7 +277,9 @@
         if not self.may_decide():
             return NotLeading("not the leader")
         digest = bytes.fromhex(content)
-        self._quarantine.strike(digest, server, server, self._clock.now_ms())
+        self._quarantine.add_strike(
+            digest, server, server, self._clock.now_ms()
+        )
         self._quarantine.resolve(server, server, crashed=True)
         quarantined = [
             found.hex() for found in self._quarantine.quarantine_repeated()
--- a/catkinpin/adapters/replica/shardhost.py
+++ b/catkinpin/adapters/replica/shardhost.py
@@ -51,12 +51,12 @@
         now = self._replica.clock.now_ms()
         wall = self._replica.clock.wall_ms()
         decisions = self.scheduler.tick(now)
-        self._run(self.leader.decided(decisions, now, wall))
+        self._run(self.leader.handle_decisions(decisions, now, wall))
         self._run(self.leader.tick(now, wall))
 
     def reported(self, report: messages.ServerReport, made_ms: int) -> None:
         """Takes a server's report, made at a monotonic time."""
-        self.leader.reported(report, made_ms)
+        self.leader.handle_report(report, made_ms)
 
     def entry_connected(self, stream: links.Stream) -> None:
         """Notes an entry's new stream."""
@@ -70,12 +70,12 @@
         self.leader.entry_lost(entry_ref(stream), now)
 
     def _new_leader(self) -> leader.ShardLeader:
-        self.decisions = explanations.Decisions()
+        self.decisions = explanations.RecentDecisions()
         prices = candidates.Prices()
         share = self._replica.led_share
         self.scheduler = scheduler.Scheduler(
             self._replica.view,
-            candidates.by_cost(prices, share, self.decisions.note),
+            candidates.by_cost(prices, share, self.decisions.add),
             scheduler.WaitPlan(),
             candidates.keeps_home(prices, share),
         )
@@ -151,7 +151,7 @@
             return
         now = self._replica.clock.now_ms()
         wall = self._replica.clock.wall_ms()
-        self._run(self.leader.applied(record, effects, now, wall))
+        self._run(self.leader.handle_applied(record, effects, now, wall))
 
     def leadership(self, leading: bool) -> None:
         """Takes up or lays down the leader's part."""
--- a/catkinpin/chat.py
+++ b/catkinpin/chat.py
@@ -135,7 +135,7 @@
     """
     text = sum(len(message) for message in canonical)
     extra = len(digest.canonical(request.model_extra or {}))
-    return text + extra + budgets.MESSAGE_TOKENS * len(canonical)
+    return text + extra + budgets.MESSAGE_OVERHEAD_TOKENS * len(canonical)
 
 
 class Assembler:
--- a/catkinpin/core/placement/assignment.py
+++ b/catkinpin/core/placement/assignment.py
@@ -10,7 +10,7 @@
 from catkinpin.core.messages import ProgramKey
 from catkinpin.core.placement import jobs, limits
 from catkinpin.core.programs import sharding
-from catkinpin.core.programs.quarantine import CRASHES_ALLOWED
+from catkinpin.core.programs.quarantine import MAX_CRASHES
 from catkinpin.core.programs.records import Choice, ProgramLimits
 from catkinpin.verdicts import Reason
 
@@ -249,7 +249,7 @@
         running = self._contents[job.content] if job.content else 0
         if not job.suspect:
             limited = job.content not in self._known_good
-            return limited and running >= CRASHES_ALLOWED
+            return limited and running >= MAX_CRASHES
         apart = server not in self._suspect_servers()
         return running > 0 or not apart
 
@@ -313,7 +313,7 @@
         account = begin.key.account
         deployment = self._cfg_of().deployment_for(account, begin.target)
         name = deployment.name if deployment is not None else ""
-        content = self._shard.content_of(begin)
+        content = self._shard.content_digest(begin)
         suspect = self._shard.quarantine.is_suspect(content)
         without = set(self._outliers.ejected(now_ms))
         without.update(call.failed_servers if call is not None else ())
--- a/catkinpin/core/programs/admissions.py
+++ b/catkinpin/core/programs/admissions.py
@@ -77,7 +77,7 @@
         rejected = self._shard.check_begin(begin)
         if rejected is not None:
             return rejected
-        content = self._shard.content_of(begin)
+        content = self._shard.content_digest(begin)
         if self._gate.is_closed(content):
             text = "this request crashed servers and is quarantined"
             return effects.BeginRejected(begin, Reason.QUARANTINED, text)
--- a/catkinpin/core/programs/budgets.py
+++ b/catkinpin/core/programs/budgets.py
@@ -12,7 +12,7 @@
     from catkinpin.core.programs.program import Program
 
 # Role markers and separators of a message in a chat template.
-MESSAGE_TOKENS = 16
+MESSAGE_OVERHEAD_TOKENS = 16
 
 
 def left(root: Program) -> int:
@@ -29,7 +29,11 @@
     if begin.whole:
         return begin.prompt_tokens
     stored = program.history
-    return begin.prompt_tokens + stored.size + MESSAGE_TOKENS * len(stored)
+    return (
+        begin.prompt_tokens
+        + stored.size
+        + MESSAGE_OVERHEAD_TOKENS * len(stored)
+    )
 
 
 def worst_case(root: Program, prompt_tokens: int, max_tokens: int) -> int:
--- a/catkinpin/core/programs/explanations.py
+++ b/catkinpin/core/programs/explanations.py
@@ -64,7 +64,7 @@
     candidates: list[Candidate] = []
 
 
-class Decisions:
+class RecentDecisions:
     """The newest decisions of a leader, the oldest forgotten."""
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
             collections.OrderedDict()
         )
 
-    def note(
+    def add(
         self, job: Job, costs: list[Cost], chosen: Server | None, now_ms: int
     ) -> None:
         """Remembers a decision."""
--- a/catkinpin/core/programs/incarnations.py
+++ b/catkinpin/core/programs/incarnations.py
@@ -55,7 +55,7 @@
         self._breaks: dict[tuple[str, str], int] = {}
         self._turn = 0
 
-    def reported(self, report: ServerReport, made_ms: int) -> None:
+    def handle_report(self, report: ServerReport, made_ms: int) -> None:
         """Takes a server's report; an older one is dropped."""
         known = self._servers.get(report.server)
         if known is None:
--- a/catkinpin/core/programs/index.py
+++ b/catkinpin/core/programs/index.py
@@ -72,7 +72,7 @@
             return BeginRejected(begin, Reason.SEQ_TAKEN, text)
         return None
 
-    def content_of(self, begin: Begin) -> bytes:
+    def content_digest(self, begin: Begin) -> bytes:
         """Returns a digest of all that a server would get.
 
         A model request gets the same digest whether its history came with it
--- a/catkinpin/core/programs/leader.py
+++ b/catkinpin/core/programs/leader.py
@@ -171,9 +171,11 @@
         """Notes that a server released programs."""
         return self._queries.release_done(done, wall_ms)
 
-    def reported(self, report: messages.ServerReport, made_ms: int) -> None:
+    def handle_report(
+        self, report: messages.ServerReport, made_ms: int
+    ) -> None:
         """Takes a server's report, made at a monotonic time."""
-        self._incarnations.reported(report, made_ms)
+        self._incarnations.handle_report(report, made_ms)
         self.outliers.seen(report.server, report.incarnation)
 
     def entry_connected(self, entry: EntryRef) -> list[Command]:
@@ -188,7 +190,7 @@
         self._waiters.drop_entry(entry.incarnation)
         self._watch.entry_gone(entry.incarnation, now_ms)
 
-    def decided(
+    def handle_decisions(
         self, decisions: list[Decision], now_ms: int, wall_ms: int
     ) -> list[Command]:
         """Turns the scheduler's decisions about waiting calls into records."""
@@ -226,7 +228,7 @@
         commands += self._incarnations.releases(entries, now_ms, wall_ms)
         return commands
 
-    def applied(
+    def handle_applied(
         self,
         record: records.ShardRecord,
         found: list[effects.Effect],
@@ -269,7 +271,7 @@
                 decisions = self._placing.ended(effect.key, now_ms)
                 return [
                     *self._outcomes.refuse(effect.key, effect.refusal),
-                    *self.decided(decisions, now_ms, wall_ms),
+                    *self.handle_decisions(decisions, now_ms, wall_ms),
                 ]
             case effects.CallReady():
                 if _ends_attempt_of(record, effect.call):
@@ -294,7 +296,7 @@
     ) -> list[Command]:
         choice = None
         commands: list[Command] = []
-        content = self._shard.content_of(begin)
+        content = self._shard.content_digest(begin)
         waits = self._shard.quarantine.must_wait(content)
         scopes = assignment.scopes_of(self.cfg, begin)
         waits = waits or not self.admission.may_start(scopes)
@@ -312,7 +314,7 @@
                     return [replies.refuse_rejected(waiter, rejected, verdict)]
                 if isinstance(outcome, assignment.Placed):
                     choice = self._grants.choice(outcome, waiter.entry, begin)
-            commands += self.decided(outcomes.others, now_ms, wall_ms)
+            commands += self.handle_decisions(outcomes.others, now_ms, wall_ms)
         # The call's own deadline is this waiter's too.
         self._waiters.add(begin.key, waiter)
         self._admissions.propose(begin)
@@ -359,7 +361,7 @@
         program, call = found
         if program.next_call() is not call:
             return []
-        content = self._shard.content_of(call.begin)
+        content = self._shard.content_digest(call.begin)
         if self._gate.is_closed(content):
             return [Propose(crashes.refusal(call, wall_ms))]
         if self._shard.quarantine.must_wait(content):
@@ -370,7 +372,7 @@
             self._deadlines.place_later(key, now_ms, _ROOM_WAIT_MS)
             return []
         decisions = self._placing.submit(program, call, now_ms, wall_ms)
-        return self.decided(decisions, now_ms, wall_ms)
+        return self.handle_decisions(decisions, now_ms, wall_ms)
 
     def _retry(
         self,
@@ -403,7 +405,7 @@
         if waiter is None or begin is None:
             # Nobody could use the grant; the server's room goes to others.
             decisions = self._placing.ended(placed.key, now_ms)
-            return self.decided(decisions, now_ms, wall_ms)
+            return self.handle_decisions(decisions, now_ms, wall_ms)
         record = records.AttemptStarted(
             at_ms=wall_ms,
             key=placed.key,
@@ -435,7 +437,7 @@
         if found is not None:
             self.admission.stopped(key)
         decisions = self._placing.ended(key, now_ms, usage)
-        return self.decided(decisions, now_ms, wall_ms)
+        return self.handle_decisions(decisions, now_ms, wall_ms)
 
 
 def _ends_attempt_of(
--- a/catkinpin/core/programs/quarantine.py
+++ b/catkinpin/core/programs/quarantine.py
@@ -13,7 +13,7 @@
 
 import dataclasses
 
-CRASHES_ALLOWED = 2
+MAX_CRASHES = 2
 _MAX_SUSPECTS = 10_000
 
 
@@ -45,7 +45,7 @@
     suspects: dict[str, Suspect] = dataclasses.field(default_factory=dict)
     refused: dict[str, None] = dataclasses.field(default_factory=dict)
 
-    def strike(
+    def add_strike(
         self, content: bytes, server: str, incarnation: str, at_ms: int
     ) -> None:
         """Notes that the request was running when its connection broke."""
@@ -78,7 +78,7 @@
             content
             for content, suspect in self.suspects.items()
             if sum(strike.confirmed for strike in suspect.strikes)
-            >= CRASHES_ALLOWED
+            >= MAX_CRASHES
         ]
         for content in found:
             del self.suspects[content]
@@ -113,7 +113,7 @@
         server.
         """
         suspect = self.suspects.get(content.hex())
-        return suspect is not None and len(suspect.strikes) >= CRASHES_ALLOWED
+        return suspect is not None and len(suspect.strikes) >= MAX_CRASHES
 
     def open_strikes(self) -> list[Strike]:
         """Returns the strikes that are not decided."""
--- a/catkinpin/core/programs/shard.py
+++ b/catkinpin/core/programs/shard.py
@@ -157,7 +157,7 @@
         choice: records.Choice | None,
     ) -> list[Effect]:
         """Starts an attempt, or says why there can't be one."""
-        call.content = self.content_of(call.begin)
+        call.content = self.content_digest(call.begin)
         refusal = self._obstacle(at_ms, program, call)
         if refusal is not None:
             return self._turn_down(program, call, refusal)
@@ -333,7 +333,7 @@
     ) -> None:
         server = attempt.choice.server
         if record.crashed and call.content:
-            self.quarantine.strike(
+            self.quarantine.add_strike(
                 call.content, server.server, server.incarnation, record.at_ms
             )
         elif record.answer is not None:
--- a/catkinpin/core/programs/texts.py
+++ b/catkinpin/core/programs/texts.py
@@ -10,7 +10,7 @@
 import collections
 
 
-class Histories:
+class HistoryCache:
     """The least recently used histories go first.
 
     Args:
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -97,7 +97,9 @@
         self.after(_TICK_MS, self._tick)
         if self.leader is not None:
             decisions = self.jobs.tick(self.now)
-            self.act(self.leader.decided(decisions, self.now, self.now))
+            self.act(
+                self.leader.handle_decisions(decisions, self.now, self.now)
+            )
             self.act(self.leader.tick(self.now, self.now))
 
     # The log and its leader.
@@ -183,7 +185,9 @@
         effects = self.state.apply(len(self.log), record)
         for program in self.state.programs.values():
             assert program.spent + program.reserved <= BUDGET
-        self.act(self.leader.applied(record, effects, self.now, self.now))
+        self.act(
+            self.leader.handle_applied(record, effects, self.now, self.now)
+        )
         match record:
             case records.CallBegun():
                 self.on_step("append 1", record.begin.key)
--- a/tests/fakes/worldserver.py
+++ b/tests/fakes/worldserver.py
@@ -63,7 +63,7 @@
         def deliver() -> None:
             if self.world.leader is not None:
                 self.world.view.report(report, made)
-                self.world.leader.reported(report, made)
+                self.world.leader.handle_report(report, made)
 
         self.world.after(self.world.latency(), deliver)
 
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -151,7 +151,9 @@
         bench.begin("1")
         bench.finish("1", texts=(b"ask", b"answer"), used=1)
         bench.begin("2", texts=(b"more",), whole=False)
-        stored = len(b"ask") + len(b"answer") + 2 * budgets.MESSAGE_TOKENS
+        stored = (
+            len(b"ask") + len(b"answer") + 2 * budgets.MESSAGE_OVERHEAD_TOKENS
+        )
         self.assertEqual(99 - 10 - stored, bench.attempt("2").max_tokens)
         self.assertEqual(99, bench.program().reserved)
         bench.finish("2", texts=(b"more", b"a" * 40), used=1)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -125,7 +125,7 @@
     """What is held of histories stays within its bound."""
 
     def test_bound_and_replacement(self) -> None:
-        held = texts.Histories(max_bytes=100)
+        held = texts.HistoryCache(max_bytes=100)
         held.put(b"a", [b"x" * 40], b"")
         held.put(b"b", [b"x" * 40, b"y" * 20], b"a")
         self.assertIsNone(held.get(b"a"))
