--- a/catkinpin/core/programs/__init__.py
+++ b/catkinpin/core/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Programs and their calls: the state machine of a shard, and its leader."""
+"""Programs and their calls: a shard's state machine and its leader."""
--- a/catkinpin/core/programs/admissions.py
+++ b/catkinpin/core/programs/admissions.py
@@ -1,4 +1,4 @@
-"""Whether a call may begin, and the begins whose record is proposed."""
+"""Checks whether calls may begin, and tracks proposed `CallBegun` records."""
 
 from __future__ import annotations
 
@@ -14,34 +14,36 @@
     from catkinpin.core.operations.deployments import Configuration
     from catkinpin.core.placement.limits import Admission
     from catkinpin.core.programs.commands import Send
-    from catkinpin.core.programs.crashes import Gate
+    from catkinpin.core.programs.crashes import QuarantineGate
     from catkinpin.core.programs.program import Call, ClosedCall
     from catkinpin.core.programs.shard import Shard
     from catkinpin.core.programs.waiters import Waiter
 
 
 class Admissions:
-    """Checks calls before they begin.
+    """Checks calls before their `CallBegun` record is proposed.
 
     Args:
-        state: the shard's state, only read here.
-        gate: keeps back requests that crash servers.
+        state: the shard's state, which is only read.
+        gate: holds back requests that crash servers.
         admission: limits on running calls.
     """
 
-    def __init__(self, state: Shard, gate: Gate, admission: Admission) -> None:
+    def __init__(
+        self, state: Shard, gate: QuarantineGate, admission: Admission
+    ) -> None:
         self._shard = state
         self._gate = gate
         self._admission = admission
         self._proposed: dict[CallKey, Begin] = {}
         self._programs: collections.Counter[ProgramKey] = collections.Counter()
 
-    def propose(self, begin: Begin) -> None:
-        """Notes a begin whose record is proposed."""
+    def mark_proposed(self, begin: Begin) -> None:
+        """Notes that the record of a begin is proposed."""
         self._proposed[begin.key] = begin
         self._programs[begin.key.program_key] += 1
 
-    def begun(self, key: CallKey) -> None:
+    def mark_committed(self, key: CallKey) -> None:
         """Notes that the record of a begin is committed."""
         if self._proposed.pop(key, None) is None:
             return
@@ -49,19 +51,19 @@
         if not self._programs[key.program_key]:
             del self._programs[key.program_key]
 
-    def proposed(self, key: CallKey) -> Begin | None:
-        """Returns a begin whose record is proposed, None for no such."""
+    def find_proposed(self, key: CallKey) -> Begin | None:
+        """Returns the begin whose record is proposed, or None."""
         return self._proposed.get(key)
 
-    def known(self, key: CallKey) -> Call | ClosedCall | Begin | None:
-        """Returns the call of this id, also one whose begin is proposed."""
+    def find_known(self, key: CallKey) -> Call | ClosedCall | Begin | None:
+        """Returns the open, closed or proposed call of this key, or None."""
         found = self._shard.find_open(key)
         if found is not None:
             return found[1]
         return self._shard.find_closed(key) or self._proposed.get(key)
 
     def refuse_target(self, waiter: Waiter, begin: Begin) -> Send:
-        """Refuses a call that no deployment lets run."""
+        """Refuses a call whose target no deployment offers to the account."""
         model = begin.kind == "model"
         reason = Reason.UNKNOWN_MODEL if model else Reason.UNKNOWN_SERVICE
         text = f"no deployment lets this account use {begin.target!r}"
@@ -73,38 +75,41 @@
     def check(
         self, cfg: Configuration, begin: Begin, now_ms: int
     ) -> effects.BeginRejected | None:
-        """Returns why a call may not begin, None where it may."""
+        """Returns a rejection if a call may not begin, else None."""
         rejected = self._shard.check_begin(begin)
         if rejected is not None:
             return rejected
         content = self._shard.content_digest(begin)
-        if self._gate.is_closed(content):
+        if self._gate.is_quarantined(content):
             text = "this request crashed servers and is quarantined"
             return effects.BeginRejected(begin, Reason.QUARANTINED, text)
         scopes = assignment.scopes_of(cfg, begin)
-        down = self._admission.check(scopes, begin.deadline_ms, now_ms)
-        if down is None:
+        limit_reached = self._admission.check(scopes, begin.deadline_ms, now_ms)
+        if limit_reached is None:
             return None
         return effects.BeginRejected(
             begin,
             Reason.OVERLOADED,
-            down.text,
-            retry_after_ms=down.retry_after_ms,
+            limit_reached.text,
+            retry_after_ms=limit_reached.retry_after_ms,
         )
 
     def is_next(self, begin: Begin) -> bool:
-        """Returns whether a call is next in its program."""
+        """Returns whether a new call could start at once in its program."""
         key = begin.key.program_key
         if key in self._programs:
             return False
         program = self._shard.programs.get(key)
         if program is None:
             return True
-        if program.running() is not None or program.next_call() is not None:
+        if (
+            program.running_call() is not None
+            or program.next_call() is not None
+        ):
             return False
         return begin.seq in (0, program.next_seq)
 
-    def begin_of(self, key: CallKey) -> Begin | None:
-        """Returns the begin of an open or proposed call."""
+    def find_begin(self, key: CallKey) -> Begin | None:
+        """Returns the begin of an open or proposed call, or None."""
         found = self._shard.find_open(key)
         return found[1].begin if found is not None else self._proposed.get(key)
--- a/catkinpin/core/programs/budgets.py
+++ b/catkinpin/core/programs/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets in tokens: reserve the worst case before, settle after.
+"""Token budgets: reserves the worst case of an attempt, settles its usage.
 
 The invariant is `spent + reserved <= budget` at the root of each tree.
 """
@@ -11,20 +11,20 @@
     from catkinpin.core.messages import Begin, Usage
     from catkinpin.core.programs.program import Program
 
-# Role markers and separators of a message in a chat template.
+# Bound of the role markers and separators of a message in a chat template.
 MESSAGE_OVERHEAD_TOKENS = 16
 
 
-def left(root: Program) -> int:
+def remaining_tokens(root: Program) -> int:
     """Returns the tokens that are neither spent nor reserved."""
     return root.limits.budget_tokens - root.spent - root.reserved
 
 
-def prompt_bound(program: Program, begin: Begin) -> int:
-    """Returns the most tokens that the call's prompt can have.
+def max_prompt_tokens(program: Program, begin: Begin) -> int:
+    """Returns an upper bound of the tokens in the call's prompt.
 
-    A caller may send only its new messages. The stored ones go before them,
-    and the engine bills both; a reserve without them would be exceeded.
+    If a caller sends only its new messages, the stored ones are put before
+    them. The engine bills both, so the reservation must cover both.
     """
     if begin.whole:
         return begin.prompt_tokens
@@ -36,28 +36,30 @@
     )
 
 
-def worst_case(root: Program, prompt_tokens: int, max_tokens: int) -> int:
-    """Returns what an attempt must reserve, 0 where too little is left.
+def tokens_to_reserve(
+    root: Program, prompt_tokens: int, max_tokens: int
+) -> int:
+    """Returns the tokens an attempt must reserve, 0 if too few are left.
 
-    The worst case is the upper bound of the prompt and every token that may
-    be generated; the output is cut to what is left of the budget.
+    These are the upper bound of the prompt and all tokens that may be
+    generated. The output is limited to what is left of the budget.
     """
-    available = left(root)
+    available = remaining_tokens(root)
     if available <= prompt_tokens:
         return 0
     return min(available, prompt_tokens + max_tokens)
 
 
 def settle(root: Program, reserved: int, usage: Usage) -> None:
-    """Replaces a reserve by what the engine says was used.
+    """Replaces a reservation with the usage that the engine reported.
 
-    An engine may count more than the reserve: it ignored the limit on its
-    output, or counts otherwise. What the budget still holds is charged; the
-    rest can't be undone and is kept apart, so that the sum of spent and
-    reserved never exceeds the budget and no later call gets a token.
+    An engine may report more than was reserved, if it ignores the limit on
+    its output or counts differently. As much as the budget covers is charged.
+    The rest is counted in `overcounted`, so that the sum of spent and reserved
+    never exceeds the budget; no later call gets a token then.
     """
     root.reserved -= reserved
     used = usage.prompt_tokens + usage.completion_tokens
-    charged = min(used, left(root))
+    charged = min(used, remaining_tokens(root))
     root.spent += charged
     root.overcounted += used - charged
--- a/catkinpin/core/programs/commands.py
+++ b/catkinpin/core/programs/commands.py
@@ -1,4 +1,4 @@
-"""Commands of a shard's leader to the replica around it."""
+"""Commands that a shard's leader gives its replica to carry out."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryRef:
-    """An entry that asks, in its present incarnation."""
+    """An entry in its current incarnation."""
 
     process: str
     incarnation: str
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SendAnswer:
-    """Read the answer in the log and send it to an entry."""
+    """Read the answer from the log and send it to an entry."""
 
     to: EntryRef
     ask: int
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SendGrant:
-    """Read the stored messages in the log and send the grant."""
+    """Read the history's messages from the log and send them with a grant."""
 
     to: EntryRef
     grant: messages.Granted
--- a/catkinpin/core/programs/crashes.py
+++ b/catkinpin/core/programs/crashes.py
@@ -1,4 +1,4 @@
-"""What a shard's leader does about requests that crash servers."""
+"""Handling of requests that crash servers, in a shard's leader."""
 
 from __future__ import annotations
 
@@ -18,48 +18,50 @@
 _SHARE_RETRY_MS = 5_000
 
 
-class Gate:
-    """Keeps back quarantined requests, and those whose fate is open.
+class QuarantineGate:
+    """Holds back requests that are or may soon be quarantined.
 
     Args:
-        state: the shard's state, only read here.
-        shared: whether the control group quarantined a content.
+        state: the shard's state, which is only read.
+        is_shared: whether the control group quarantined a content.
     """
 
-    def __init__(self, state: Shard, shared: Callable[[bytes], bool]) -> None:
+    def __init__(
+        self, state: Shard, is_shared: Callable[[bytes], bool]
+    ) -> None:
         self._shard = state
-        self._shared = shared
-        self._share_at_ms = 0
+        self._is_shared = is_shared
+        self._next_share_ms = 0
         self._held: dict[CallKey, None] = {}
 
-    def is_closed(self, content: bytes) -> bool:
-        """Returns whether the content is quarantined, here or everywhere."""
-        here = self._shard.quarantine.is_refused(content)
-        return here or self._shared(content)
+    def is_quarantined(self, content: bytes) -> bool:
+        """Returns whether this shard or the control group quarantined it."""
+        in_shard = self._shard.quarantine.is_refused(content)
+        return in_shard or self._is_shared(content)
 
     def hold(self, key: CallKey) -> None:
-        """Keeps a call until a server's fate is known."""
+        """Holds a call until it is known whether a server crashed."""
         self._held[key] = None
 
-    def released(self) -> list[CallKey]:
-        """Returns the calls that were kept, to be placed again."""
+    def take_held(self) -> list[CallKey]:
+        """Removes and returns the held calls, which are to be placed again."""
         held, self._held = self._held, {}
         return list(held)
 
-    def share(self, now_ms: int, wall_ms: int) -> list[Command]:
-        """Has the control group take over what was quarantined here."""
-        waiting = self._shard.quarantine.to_share()
-        if not waiting:
+    def share_quarantine(self, now_ms: int, wall_ms: int) -> list[Command]:
+        """Hands over what this shard quarantined to the control group."""
+        unshared = self._shard.quarantine.unshared_contents()
+        if not unshared:
             return []
-        taken = [one for one in waiting if self._shared(one)]
+        shared = [content for content in unshared if self._is_shared(content)]
         commands: list[Command] = []
-        if taken:
-            record = records.QuarantineShared(at_ms=wall_ms, contents=taken)
+        if shared:
+            record = records.QuarantineShared(at_ms=wall_ms, contents=shared)
             commands.append(Propose(record))
-        if now_ms >= self._share_at_ms:
-            self._share_at_ms = now_ms + _SHARE_RETRY_MS
-            rest = [one for one in waiting if one not in taken]
-            commands += map(ShareQuarantine, rest)
+        if now_ms >= self._next_share_ms:
+            self._next_share_ms = now_ms + _SHARE_RETRY_MS
+            missing = [content for content in unshared if content not in shared]
+            commands += map(ShareQuarantine, missing)
         return commands
 
 
--- a/catkinpin/core/programs/effects.py
+++ b/catkinpin/core/programs/effects.py
@@ -1,4 +1,4 @@
-"""What follows from a committed record; only a shard's leader acts on it."""
+"""Effects of a committed record, on which only a shard's leader acts."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallAnswered:
-    """The call's answer is durable."""
+    """The call's answer is committed."""
 
     key: CallKey
     call: ClosedCall
 
 
 @dataclasses.dataclass(frozen=True)
-class CallTurnedDown:
-    """The call got its final answer, a refusal."""
+class CallRejected:
+    """The call was closed with a refusal."""
 
     key: CallKey
     refusal: CallRefused
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BeginRejected:
-    """A begin did not fit the state it was applied to."""
+    """A new call was not admitted."""
 
     begin: Begin
     reason: Reason
@@ -56,15 +56,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class ProgramOver:
-    """The program has ended; its engine memory can go."""
+class ProgramTerminated:
+    """The program has ended."""
 
     program: Program
 
 
 @dataclasses.dataclass(frozen=True)
 class ContentQuarantined:
-    """No server gets this content any more."""
+    """The content was quarantined: no server gets it any more."""
 
     content: bytes
 
@@ -72,9 +72,9 @@
 Effect = (
     CallGranted
     | CallAnswered
-    | CallTurnedDown
+    | CallRejected
     | CallReady
     | BeginRejected
-    | ProgramOver
+    | ProgramTerminated
     | ContentQuarantined
 )
--- a/catkinpin/core/programs/endings.py
+++ b/catkinpin/core/programs/endings.py
@@ -1,4 +1,4 @@
-"""How programs of a shard end, and what is released then."""
+"""Ends and forgets a shard's programs, and releases their engine memory."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from catkinpin.core.programs import history, rules
 from catkinpin.core.programs.effects import (
-    CallTurnedDown,
+    CallRejected,
     Effect,
-    ProgramOver,
+    ProgramTerminated,
 )
 from catkinpin.core.programs.index import ProgramIndex
 from catkinpin.core.programs.outbox import Order, Outbox
@@ -21,18 +21,18 @@
 
 
 class ProgramEndings(ProgramIndex):
-    """Programs that can be ended.
+    """Ends programs of the index and orders the release of their memory.
 
     Attributes:
-        outbox: orders to release engine memory.
+        outbox: orders to release engine memory that are not confirmed yet.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.outbox = Outbox()
 
-    def program_ended(self, record: records.ProgramEnded) -> list[Effect]:
-        """Applies the end of a program."""
+    def apply_program_ended(self, record: records.ProgramEnded) -> list[Effect]:
+        """Applies a record that ends a program."""
         program = self.programs.get(record.key)
         if program is None or program.ended:
             return []
@@ -41,14 +41,16 @@
         return self.end_tree(program, record.reason, record.at_ms)
 
     def end_tree(self, top: Program, reason: str, at_ms: int) -> list[Effect]:
-        """Ends a program and all that it started."""
+        """Ends a program and all programs that it started."""
         effects: list[Effect] = []
-        for program in [top, *self.below(top)]:
+        for program in [top, *self.descendants(top)]:
             if not program.ended:
-                effects += self._end(program, reason, at_ms)
+                effects += self._end_program(program, reason, at_ms)
         return effects
 
-    def _end(self, program: Program, reason: str, at_ms: int) -> list[Effect]:
+    def _end_program(
+        self, program: Program, reason: str, at_ms: int
+    ) -> list[Effect]:
         program.ended = True
         program.end_reason = reason
         program.ended_ms = at_ms
@@ -59,15 +61,15 @@
             text = f"the program has ended: {reason}"
             refusal = rules.refusal(at_ms, call, Reason.PROGRAM_ENDED, text)
             program.close(call, None)
-            effects.append(CallTurnedDown(call.key, refusal))
-        effects.append(ProgramOver(program))
-        return effects + self.memory_free(program)
+            effects.append(CallRejected(call.key, refusal))
+        effects.append(ProgramTerminated(program))
+        return effects + self.release_memory(program)
 
-    def memory_free(self, program: Program) -> list[Effect]:
-        """Orders the release of engine memory, once nothing runs any more.
+    def release_memory(self, program: Program) -> list[Effect]:
+        """Orders the release of a program's engine memory if no call is open.
 
-        An order that went out earlier would be undone by the attempt that
-        still runs: the engine keeps the prefix when it is done.
+        A running attempt would undo the release, because the engine keeps the
+        prefix when the attempt is done.
         """
         if program.open:
             return []
@@ -79,22 +81,28 @@
         program.history = history.History()
         return []
 
-    def forget(self, record: records.ProgramsForgotten) -> list[Effect]:
-        """Drops programs that have ended and that nobody asks for."""
+    def apply_programs_forgotten(
+        self, record: records.ProgramsForgotten
+    ) -> list[Effect]:
+        """Removes programs that have ended and whose sub-agents are removed."""
         for key in record.keys:
             program = self.programs.get(key)
             if program is None or not program.ended or program.open:
                 continue
-            if any(self.member(program, name) for name in program.members):
+            if any(self.find_member(program, name) for name in program.members):
                 continue
-            self.drop(program)
+            self.remove_program(program)
         return []
 
-    def memory_released(self, record: records.MemoryReleased) -> list[Effect]:
-        """Drops orders that a server has carried out."""
+    def apply_memory_released(
+        self, record: records.MemoryReleased
+    ) -> list[Effect]:
+        """Removes release orders that a server has carried out."""
         if record.empty:
-            self.outbox.restarted(record.server, record.incarnation)
-        self.outbox.confirmed(
+            self.outbox.drop_other_incarnations(
+                record.server, record.incarnation
+            )
+        self.outbox.drop_confirmed(
             record.server, record.incarnation, record.programs
         )
         return []
--- a/catkinpin/core/programs/explanations.py
+++ b/catkinpin/core/programs/explanations.py
@@ -1,4 +1,4 @@
-"""Why a recent call went where it went, for operators."""
+"""Explains to operators why the scheduler chose a server for a call."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from catkinpin.core.placement.servers import Server
 
 _MAX_CALLS = 250
-_MAX_SHOWN = 12
+_MAX_CANDIDATES = 12
 
 
 class Candidate(Message, frozen=True):
-    """A server that was weighed, and its costs in milliseconds."""
+    """A server that the scheduler considered, with its costs."""
 
     server: str
     wait_ms: int
@@ -34,21 +34,21 @@
 
 
 class Explain(Message, frozen=True):
-    """Asks the leader of a program's shard why a call went where it went."""
+    """Asks the leader of a program's shard for the decision on a call."""
 
     ask: int
     key: CallKey
 
 
 class Explained(Message, frozen=True):
-    """The newest decision about a call.
+    """The newest decision on a call.
 
     Attributes:
         known: whether the leader remembers the call.
-        chosen: the server, or empty while the call waits.
-        tries: how often the call was weighed.
-        age_ms: since the newest decision.
-        candidates: the cheapest first.
+        chosen: the chosen server, or empty while the call waits.
+        tries: number of decisions on the call so far.
+        age_ms: age of the newest decision.
+        candidates: the considered servers, cheapest first.
     """
 
     ask: int
@@ -65,37 +65,37 @@
 
 
 class RecentDecisions:
-    """The newest decisions of a leader, the oldest forgotten."""
+    """Keeps a leader's newest decision on each of its most recent calls."""
 
     def __init__(self) -> None:
-        self._found: collections.OrderedDict[CallKey, tuple[Explained, int]] = (
-            collections.OrderedDict()
-        )
+        self._decisions: collections.OrderedDict[
+            CallKey, tuple[Explained, int]
+        ] = collections.OrderedDict()
 
     def add(
         self, job: Job, costs: list[Cost], chosen: Server | None, now_ms: int
     ) -> None:
-        """Remembers a decision."""
-        before = self._found.pop(job.key, None)
+        """Adds a decision; it replaces an earlier one on the same call."""
+        previous = self._decisions.pop(job.key, None)
         explained = Explained(
             ask=0,
             known=True,
             chosen=chosen.report.server if chosen is not None else "",
-            tries=1 + (before[0].tries if before is not None else 0),
+            tries=1 + (previous[0].tries if previous is not None else 0),
             prompt_tokens=job.prompt_tokens,
             history_tokens=job.history_tokens,
             attained_tokens=job.attained_tokens,
             turns=job.turns,
             interactive=job.interactive,
-            candidates=[_candidate(cost) for cost in costs[:_MAX_SHOWN]],
+            candidates=[_candidate(cost) for cost in costs[:_MAX_CANDIDATES]],
         )
-        self._found[job.key] = (explained, now_ms)
-        if len(self._found) > _MAX_CALLS:
-            self._found.popitem(last=False)
+        self._decisions[job.key] = (explained, now_ms)
+        if len(self._decisions) > _MAX_CALLS:
+            self._decisions.popitem(last=False)
 
     def explain(self, ask: Explain, now_ms: int) -> Explained:
-        """Answers an operator."""
-        found = self._found.get(ask.key)
+        """Returns the newest decision on a call, for an operator."""
+        found = self._decisions.get(ask.key)
         if found is None:
             return Explained(ask=ask.ask)
         explained, at_ms = found
--- a/catkinpin/core/programs/grants.py
+++ b/catkinpin/core/programs/grants.py
@@ -1,4 +1,4 @@
-"""Grants of attempts: who gets one, and those that an earlier leader gave."""
+"""Sends grants of attempts to entries, and resumes those already sent."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 
 
 class Grants:
-    """Gives attempts to entries, and watches them.
+    """Grants attempts to entries, and tracks them.
 
     Args:
-        waiters: who waits for which call.
-        watch: attempts that are watched until their outcome is in the log.
-        deadlines: what falls due.
-        placing: the scheduler's side of each call.
+        waiters: entries that wait for calls.
+        tracker: attempts without a committed outcome.
+        deadlines: the leader's timers.
+        placing: submits calls to the scheduler.
         admission: limits on running calls.
-        entries: those that are connected, by incarnation.
+        entries: connected entries by incarnation.
         cfg: returns the configuration in force.
     """
 
     def __init__(
         self,
         waiters: Waiters,
-        watch: attempts.Watch,
+        tracker: attempts.AttemptTracker,
         deadlines: Deadlines,
         placing: assignment.Placing,
         admission: Admission,
@@ -47,61 +47,61 @@
         cfg: Callable[[], Configuration],
     ) -> None:
         self._waiters = waiters
-        self._watch = watch
+        self._tracker = tracker
         self._deadlines = deadlines
         self._placing = placing
         self._admission = admission
         self._entries = entries
         self._cfg = cfg
 
-    def choice(
+    def choose(
         self, placed: assignment.Placed, entry: EntryRef, begin: Begin
     ) -> records.Choice:
-        """Returns a server and an entry for a call, as the log keeps them."""
-        deployment = self.deployment(begin)
+        """Returns the choice of server and entry that goes into the log."""
+        deployment = self.find_deployment(begin)
         priority = deployment.priority if deployment is not None else 0
         entries = list(self._entries.values())
         return assignment.choice_of(placed, entry, entries, priority)
 
-    def granted(
+    def send_grant(
         self, effect: effects.CallGranted, now_ms: int, wall_ms: int
     ) -> list[Command]:
-        """Sends the grant of a committed attempt to the entry that waits."""
+        """Sends the grant of a committed attempt to the waiting entry."""
         call = effect.call
         attempt = call.attempt
         assert attempt is not None
         self._admission.started(call.key, now_ms)
         incarnation = attempt.choice.entry_incarnation
-        waiter = self._waiters.for_grant(call.key, incarnation)
+        waiter = self._waiters.find_for_grant(call.key, incarnation)
         if waiter is None:
-            # The grant never left this process, so the request did not run.
-            record = attempts.never_sent(call.key, attempt.attempt, wall_ms)
+            # The grant was never sent, so the request did not run.
+            record = attempts.unsent_record(call.key, attempt.attempt, wall_ms)
             return [Propose(record)]
         self._waiters.remove(call.key, waiter)
-        self._watch.add(call.key, attempt)
-        self._deadlines.started(attempt.attempt, now_ms)
+        self._tracker.add(call.key, attempt)
+        self._deadlines.schedule_recall(attempt.attempt, now_ms)
         return [replies.grant(waiter, effect.program, call, attempt, now_ms)]
 
-    def deployment(self, begin: Begin) -> Deployment | None:
-        """Returns the deployment that lets a call run."""
+    def find_deployment(self, begin: Begin) -> Deployment | None:
+        """Returns the deployment under which a call runs, or None."""
         return self._cfg().deployment_for(begin.key.account, begin.target)
 
     def deployment_name(self, begin: Begin) -> str:
-        """Returns the name of that deployment, empty for none."""
-        found = self.deployment(begin)
+        """Returns the name of a call's deployment, empty if it has none."""
+        found = self.find_deployment(begin)
         return found.name if found is not None else ""
 
-    def opened(self, call: Call, now_ms: int, wall_ms: int) -> None:
-        """Notes an open call of the log."""
+    def register_call(self, call: Call, now_ms: int, wall_ms: int) -> None:
+        """Counts an open call for its limits and adds its deadline timer."""
         scopes = assignment.scopes_of(self._cfg(), call.begin)
         self._admission.opened(call.key, scopes, now_ms)
-        self._deadlines.call_open(call, now_ms, wall_ms)
+        self._deadlines.track_call(call, now_ms, wall_ms)
 
-    def resume(self, call: Call, now_ms: int) -> None:
-        """Watches the attempt that an earlier leader granted."""
+    def resume_attempt(self, call: Call, now_ms: int) -> None:
+        """Tracks an attempt that an earlier leader granted, if there is one."""
         if call.attempt is None:
             return
         self._admission.started(call.key, now_ms)
-        self._watch.add(call.key, call.attempt)
+        self._tracker.add(call.key, call.attempt)
         self._placing.resume(call, call.attempt)
-        self._deadlines.started(call.attempt.attempt, now_ms)
+        self._deadlines.schedule_recall(call.attempt.attempt, now_ms)
--- a/catkinpin/core/programs/history.py
+++ b/catkinpin/core/programs/history.py
@@ -1,4 +1,4 @@
-"""A program's history without its texts: digests and log positions."""
+"""A program's history without its texts: digests and places in the log."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-_PLACE_SIZE = 8
+_PLACE_BYTES = 8
 _POSITION_BITS = 20
 _POSITION_MASK = (1 << _POSITION_BITS) - 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryItem:
-    """A message of a history, kept in the log and not in memory.
+    """A message of a history, whose text is in the log and not in memory.
 
     Attributes:
-        digest: digest of the message.
         record_index: log index of the record that holds the message.
-        position: place among the messages of that record.
+        position: index among the messages of that record.
     """
 
     digest: bytes
@@ -32,15 +31,16 @@
 
 @dataclasses.dataclass(slots=True)
 class History:
-    """Messages of a program in order, 24 bytes each.
+    """The messages of a program in order, packed into 24 bytes each.
 
-    An object a message would take ten times as much; a program has hundreds.
+    A program has hundreds of messages. One object for each would take ten
+    times as much memory.
 
     Attributes:
         head: digest chain over all messages.
-        digests: digests one after the other.
-        places: log index and position of each message, packed.
-        size: bytes of all messages together.
+        digests: digests of the messages, concatenated.
+        places: log index and position of each message, packed and concatenated.
+        size: total size of the messages in bytes.
     """
 
     head: bytes = b""
@@ -49,12 +49,14 @@
     size: int = 0
 
     def __len__(self) -> int:
-        return len(self.places) // _PLACE_SIZE
+        return len(self.places) // _PLACE_BYTES
 
     def __iter__(self) -> Iterator[HistoryItem]:
         for number in range(len(self)):
-            at = number * _PLACE_SIZE
-            place = int.from_bytes(self.places[at : at + _PLACE_SIZE], "big")
+            offset = number * _PLACE_BYTES
+            place = int.from_bytes(
+                self.places[offset : offset + _PLACE_BYTES], "big"
+            )
             yield HistoryItem(
                 digest=self.digest_at(number),
                 record_index=place >> _POSITION_BITS,
@@ -63,24 +65,24 @@
 
     def digest_at(self, number: int) -> bytes:
         """Returns the digest of message `number`, counted from 0."""
-        at = number * digest.DIGEST_SIZE
-        return bytes(self.digests[at : at + digest.DIGEST_SIZE])
+        offset = number * digest.DIGEST_SIZE
+        return bytes(self.digests[offset : offset + digest.DIGEST_SIZE])
 
     def add(self, message: bytes, record_index: int, position: int) -> None:
-        """Adds a message, of which the log keeps the text."""
-        item = digest.of_bytes(message)
+        """Appends a message whose text is in the log."""
+        message_digest = digest.of_bytes(message)
         self.size += len(message)
         place = record_index << _POSITION_BITS | position
-        self.digests += item
-        self.places += place.to_bytes(_PLACE_SIZE, "big")
-        self.head = digest.chain(self.head, item)
+        self.digests += message_digest
+        self.places += place.to_bytes(_PLACE_BYTES, "big")
+        self.head = digest.chain(self.head, message_digest)
 
     def first_difference(self, digests: Sequence[bytes]) -> int | None:
-        """Returns where `digests` leaves the history, or None.
+        """Returns the index of the first message that differs, or None.
 
         Args:
-            digests: of the messages of a request that holds the whole history
-                and new messages after it.
+            digests: digests of a request's messages, which must be the whole
+                history followed by new messages.
         """
         for number in range(len(self)):
             if number >= len(digests):
@@ -90,8 +92,8 @@
         return None
 
 
-def chain_all(head: bytes, digests: Sequence[bytes]) -> bytes:
-    """Returns the head of the chain after all `digests`."""
-    for item in digests:
-        head = digest.chain(head, item)
+def extend_chain(head: bytes, digests: Sequence[bytes]) -> bytes:
+    """Returns the head of a digest chain extended by `digests`."""
+    for message_digest in digests:
+        head = digest.chain(head, message_digest)
     return head
--- a/catkinpin/core/programs/incarnations.py
+++ b/catkinpin/core/programs/incarnations.py
@@ -1,4 +1,4 @@
-"""Server incarnations: which have crashed, and what memory to release."""
+"""Decides which server incarnations crashed, and releases server memory."""
 
 from __future__ import annotations
 
@@ -16,63 +16,64 @@
     from catkinpin.core.messages import ServerReport
     from catkinpin.core.programs.shard import Shard
 
-# Reports made this long after a break prove that the server outlived it; the
-# bound covers the rounding of the reports' ages.
-_MARGIN_MS = 50
-_RELEASE_EVERY_MS = 1_000
-_RELEASE_BATCH = 64
-_COMPARE_EVERY_MS = 2_000
+# A report made this long after a connection broke proves that the server is
+# still running. The margin covers the rounding of the reports' ages.
+_REPORT_AGE_ERROR_MS = 50
+_RELEASE_INTERVAL_MS = 1_000
+_MAX_PROGRAMS_PER_ORDER = 64
+_COMPARE_INTERVAL_MS = 2_000
 
 
 @dataclasses.dataclass
-class _Seen:
+class _LastReport:
     """The last report of a server.
 
     Attributes:
-        made_ms: when it was made, on our monotonic clock.
-        ordered_ms: when the last order of release went out.
-        compared_ms: when the held programs were last compared.
+        made_ms: when it was made, on this process's monotonic clock.
+        ordered_ms: when the last order to release memory was sent.
+        compared_ms: when the programs that the server holds were last
+            compared with those of the shard.
     """
 
     report: ServerReport
     made_ms: int
-    ordered_ms: int = -_RELEASE_EVERY_MS
-    compared_ms: int = -_COMPARE_EVERY_MS
+    ordered_ms: int = -_RELEASE_INTERVAL_MS
+    compared_ms: int = -_COMPARE_INTERVAL_MS
 
 
 class Incarnations:
-    """Decides which incarnations of servers are over, and empties their memory.
+    """Finds incarnations that have crashed, and orders releases of memory.
 
     Args:
-        state: the shard's state, only read here.
+        state: the shard's state, which is only read.
         is_account: whether the configuration has an account of this name.
     """
 
     def __init__(self, state: Shard, is_account: Callable[[str], bool]) -> None:
         self._shard = state
         self._is_account = is_account
-        self._servers: dict[str, _Seen] = {}
-        self._breaks: dict[tuple[str, str], int] = {}
-        self._turn = 0
+        self._servers: dict[str, _LastReport] = {}
+        self._broken_at_ms: dict[tuple[str, str], int] = {}
+        self._next_entry = 0
 
     def handle_report(self, report: ServerReport, made_ms: int) -> None:
-        """Takes a server's report; an older one is dropped."""
+        """Keeps a server's report unless it is older than the last one."""
         known = self._servers.get(report.server)
         if known is None:
-            self._servers[report.server] = _Seen(report, made_ms)
+            self._servers[report.server] = _LastReport(report, made_ms)
         elif made_ms >= known.made_ms:
             known.report = report
             known.made_ms = made_ms
 
-    def decide(self, now_ms: int, wall_ms: int) -> list[Command]:
-        """Returns records about incarnations that are now decided."""
-        found: dict[tuple[str, str], int] = {}
+    def resolve_strikes(self, now_ms: int, wall_ms: int) -> list[Command]:
+        """Proposes whether incarnations with open strikes have crashed."""
+        broken_at_ms: dict[tuple[str, str], int] = {}
         commands: list[Command] = []
         for strike in self._shard.quarantine.open_strikes():
             server_incarnation = (strike.server, strike.incarnation)
-            broke_ms = self._breaks.get(server_incarnation, now_ms)
-            found[server_incarnation] = broke_ms
-            crashed = self._crashed(server_incarnation, broke_ms, now_ms)
+            broke_ms = self._broken_at_ms.get(server_incarnation, now_ms)
+            broken_at_ms[server_incarnation] = broke_ms
+            crashed = self._has_crashed(server_incarnation, broke_ms, now_ms)
             if crashed is not None:
                 record = records.IncarnationEnded(
                     at_ms=wall_ms,
@@ -81,40 +82,40 @@
                     crashed=crashed,
                 )
                 commands.append(Propose(record))
-        self._breaks = found
+        self._broken_at_ms = broken_at_ms
         return commands
 
-    def _crashed(
+    def _has_crashed(
         self, server_incarnation: tuple[str, str], broke_ms: int, now_ms: int
     ) -> bool | None:
-        """Returns whether an incarnation is over, None while that is open."""
-        seen = self._servers.get(server_incarnation[0])
-        if seen is None:
+        """Returns whether an incarnation has crashed, None if not yet known."""
+        last = self._servers.get(server_incarnation[0])
+        if last is None:
             silent_since = broke_ms
-        elif seen.report.incarnation != server_incarnation[1]:
+        elif last.report.incarnation != server_incarnation[1]:
             return True
-        elif seen.made_ms > broke_ms + _MARGIN_MS:
+        elif last.made_ms > broke_ms + _REPORT_AGE_ERROR_MS:
             return False
         else:
-            silent_since = max(seen.made_ms, broke_ms)
+            silent_since = max(last.made_ms, broke_ms)
         return True if now_ms - silent_since > SILENT_AFTER_MS else None
 
-    def releases(
+    def release_orders(
         self, entries: list[EntryRef], now_ms: int, wall_ms: int
     ) -> list[Command]:
-        """Returns orders to release memory, through entries near the server.
+        """Returns orders to release memory, sent by entries in the region.
 
         Args:
-            entries: those that are connected.
+            entries: the connected entries.
             now_ms: monotonic time.
             wall_ms: wall time.
         """
         commands: list[Command] = []
         for server in self._shard.outbox.servers():
-            seen = self._servers.get(server)
-            if seen is None:
+            last = self._servers.get(server)
+            if last is None:
                 continue
-            server_incarnation = seen.report.incarnation
+            server_incarnation = last.report.incarnation
             orders = self._shard.outbox.pending(server)
             if any(order.incarnation != server_incarnation for order in orders):
                 # A new incarnation starts with empty memory.
@@ -127,42 +128,42 @@
                 commands.append(Propose(record))
                 continue
             names = [order.program for order in orders]
-            commands += self._order(seen, names, entries, now_ms)
-        for seen in self._servers.values():
-            commands += self._compare(seen, entries, now_ms)
+            commands += self._release_order(last, names, entries, now_ms)
+        for last in self._servers.values():
+            commands += self._release_unused(last, entries, now_ms)
         return commands
 
-    def _compare(
-        self, seen: _Seen, entries: list[EntryRef], now_ms: int
+    def _release_unused(
+        self, last: _LastReport, entries: list[EntryRef], now_ms: int
     ) -> list[Command]:
-        """Orders the release of what a server holds and nobody uses.
+        """Orders the release of programs that a server holds unnecessarily.
 
-        Such memory is left where an order was lost with the state, or where
+        A server holds them if an order was lost with the shard's state, or if
         an attempt went on after its program had been released.
         """
-        due = now_ms - seen.compared_ms >= _COMPARE_EVERY_MS
-        if not due or not seen.report.held:
+        due = now_ms - last.compared_ms >= _COMPARE_INTERVAL_MS
+        if not due or not last.report.held:
             return []
-        seen.compared_ms = now_ms
-        unknown = [name for name in seen.report.held if self._is_over(name)]
-        return self._order(seen, unknown, entries, now_ms)
+        last.compared_ms = now_ms
+        unused = [name for name in last.report.held if self._is_unused(name)]
+        return self._release_order(last, unused, entries, now_ms)
 
-    def _is_over(self, name: str) -> bool:
-        """Returns whether `name` is a program of this shard that is gone."""
-        key = self._key_of(name)
+    def _is_unused(self, name: str) -> bool:
+        """Returns whether a program of this shard has ended or is unknown."""
+        key = self._parse_program_name(name)
         if key is None:
             return False
-        if sharding.group_of(key, self._shard.shards) != self._shard.name:
+        if sharding.group_of(key, self._shard.shard_count) != self._shard.name:
             return False
         known = self._shard.programs.get(key)
         return known is None or (known.ended and not known.open)
 
-    def _key_of(self, name: str) -> messages.ProgramKey | None:
-        """Returns the program that an engine calls `name`, or None.
+    def _parse_program_name(self, name: str) -> messages.ProgramKey | None:
+        """Returns the key of the program that an engine calls `name`, or None.
 
-        Accounts and programs may both have slashes in their names. Read
-        wrongly, a live program would look like one that nobody knows, and
-        would lose its cache again and again; so a doubtful name is left.
+        Names of accounts and of programs may both contain slashes. If a name
+        were split at the wrong one, a live program would look unknown and
+        lose its cache again and again, so an ambiguous name gives None.
         """
         keys = [
             messages.ProgramKey(account=name[:at], program=name[at + 1 :])
@@ -174,24 +175,25 @@
             return None
         return next(iter(known or keys), None)
 
-    def _order(
+    def _release_order(
         self,
-        seen: _Seen,
+        last: _LastReport,
         names: list[str],
         entries: list[EntryRef],
         now_ms: int,
     ) -> list[Command]:
-        if not names or now_ms - seen.ordered_ms < _RELEASE_EVERY_MS:
+        """Returns an order to a server, unless one was sent just before."""
+        if not names or now_ms - last.ordered_ms < _RELEASE_INTERVAL_MS:
             return []
-        region = seen.report.region
-        near = [e for e in entries if not region or e.region == region]
-        if not near:
+        region = last.report.region
+        in_region = [e for e in entries if not region or e.region == region]
+        if not in_region:
             return []
-        seen.ordered_ms = now_ms
-        # Another entry at each try: one may not reach the server.
-        self._turn += 1
-        entry = near[self._turn % len(near)]
-        report = seen.report
+        last.ordered_ms = now_ms
+        # Each order takes another entry, as one may not reach the server.
+        self._next_entry += 1
+        entry = in_region[self._next_entry % len(in_region)]
+        report = last.report
         order = messages.OrderRelease(
             group=self._shard.name,
             server=messages.ServerRef(
@@ -200,6 +202,6 @@
                 address=report.address,
                 region=report.region,
             ),
-            programs=names[:_RELEASE_BATCH],
+            programs=names[:_MAX_PROGRAMS_PER_ORDER],
         )
         return [Send(entry, order)]
--- a/catkinpin/core/programs/index.py
+++ b/catkinpin/core/programs/index.py
@@ -1,4 +1,4 @@
-"""The programs of a shard, their trees, and what is known of their calls."""
+"""Index of a shard's programs, their trees and their calls."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 
 
 class ProgramIndex:
-    """Finds programs and calls; adds and drops programs.
+    """Finds programs and calls; adds and removes programs.
 
     Attributes:
-        programs: every program not yet forgotten, by key.
+        programs: every program that is not forgotten yet, by key.
     """
 
     def __init__(self) -> None:
         self.programs: dict[ProgramKey, Program] = {}
 
     def find_open(self, key: CallKey) -> tuple[Program, Call] | None:
-        """Returns the open call and its program, or None."""
+        """Returns an open call and its program, or None."""
         program = self.programs.get(key.program_key)
         if program is None or key.request_id not in program.open:
             return None
         return program, program.open[key.request_id]
 
     def find_closed(self, key: CallKey) -> ClosedCall | None:
-        """Returns the call whose final answer is kept, or None."""
+        """Returns a closed call that is still kept, or None."""
         program = self.programs.get(key.program_key)
         return program.closed.get(key.request_id) if program else None
 
     def verdict_of(self, key: CallKey) -> Verdict:
-        """Returns what a refusal must say of a call without an answer."""
+        """Returns the verdict that a refusal of a call must carry."""
         found = self.find_open(key)
         if found is not None:
             return found[1].verdict
@@ -54,7 +54,7 @@
         return self.programs.get(program.root_key, program)
 
     def check_begin(self, begin: Begin) -> BeginRejected | None:
-        """Returns why a new call can't be admitted now, or None."""
+        """Returns a rejection if a new call can't be admitted, else None."""
         key = begin.key.program_key
         program = self.programs.get(key)
         if program is None:
@@ -73,19 +73,19 @@
         return None
 
     def content_digest(self, begin: Begin) -> bytes:
-        """Returns a digest of all that a server would get.
+        """Returns a digest of everything that a server would receive.
 
-        A model request gets the same digest whether its history came with it
-        or was kept here, and whatever program and account it belongs to.
+        The digest of a model request does not depend on its program and
+        account, nor on whether its history was sent with it or stored here.
         """
         if begin.kind != "model":
             return begin.fingerprint
         program = self.programs.get(begin.key.program_key)
-        head, rest = b"", begin.digests
+        head, new = b"", begin.digests
         if program is not None:
             head = program.history.head
-            rest = rest[len(program.history) :] if begin.whole else rest
-        head = history.chain_all(head, rest)
+            new = new[len(program.history) :] if begin.whole else new
+        head = history.extend_chain(head, new)
         return digest.chain(head, begin.target.encode())
 
     def _check_new_program(self, begin: Begin) -> BeginRejected | None:
@@ -93,17 +93,19 @@
             text = "the program is not known; its first call has seq 1"
             return BeginRejected(begin, Reason.UNKNOWN_PROGRAM, text)
         key = begin.key.program_key
-        for above in (begin.parent, *rules.ancestors(key.program)):
+        for ancestor in (begin.parent, *rules.ancestor_ids(key.program)):
             found = self.programs.get(
-                ProgramKey(account=key.account, program=above)
+                ProgramKey(account=key.account, program=ancestor)
             )
             if found is not None and found.ended:
-                text = f"program {above!r}, which started this one, has ended"
+                text = (
+                    f"program {ancestor!r}, which started this one, has ended"
+                )
                 return BeginRejected(begin, Reason.PROGRAM_ENDED, text)
         return None
 
-    def program_for(self, record: records.CallBegun) -> Program:
-        """Returns the program of a begin, made now where it is new."""
+    def get_or_create_program(self, record: records.CallBegun) -> Program:
+        """Returns the program of a call, which is created if it is new."""
         key = record.begin.key.program_key
         program = self.programs.get(key)
         if program is not None:
@@ -117,12 +119,14 @@
         )
         self.programs[key] = program
         if program.root_key != key:
-            root = self._root_for(program, record)
+            root = self._get_or_create_root(program, record)
             root.members.append(key.program)
         return program
 
-    def _root_for(self, program: Program, record: records.CallBegun) -> Program:
-        """Returns the root, made now where it has made no call itself."""
+    def _get_or_create_root(
+        self, program: Program, record: records.CallBegun
+    ) -> Program:
+        """Returns the program's root, which is created if it is new."""
         root = self.programs.get(program.root_key)
         if root is None:
             root = Program(
@@ -131,33 +135,33 @@
             self.programs[root.key] = root
         return root
 
-    def below(self, top: Program) -> list[Program]:
-        """Returns what `top` started, and what that started in turn."""
+    def descendants(self, top: Program) -> list[Program]:
+        """Returns the programs that `top` started, directly or indirectly."""
         root = self.root_of(top)
-        below: dict[str, Program] = {top.key.program: top}
+        descendants: dict[str, Program] = {top.key.program: top}
         prefix = top.key.program + sharding.SUB_AGENT_SEPARATOR
         for name in root.members:
             key = ProgramKey(account=top.key.account, program=name)
             program = self.programs[key]
-            if program.parent in below or name.startswith(prefix):
-                below[name] = program
-        del below[top.key.program]
-        return list(below.values())
+            if program.parent in descendants or name.startswith(prefix):
+                descendants[name] = program
+        del descendants[top.key.program]
+        return list(descendants.values())
 
-    def member(self, root: Program, name: str) -> Program | None:
-        """Returns a sub-agent of a root by its id."""
+    def find_member(self, root: Program, name: str) -> Program | None:
+        """Returns the sub-agent of a root with this id, or None."""
         key = ProgramKey(account=root.key.account, program=name)
         return self.programs.get(key)
 
-    def drop(self, program: Program) -> None:
-        """Forgets a program."""
+    def remove_program(self, program: Program) -> None:
+        """Removes a program, also from the members of its root."""
         del self.programs[program.key]
         root = self.programs.get(program.root_key)
         if root is not None and program.key.program in root.members:
             root.members.remove(program.key.program)
 
     def is_settled(self, finish: Finish) -> bool:
-        """Returns whether the outcome of the attempt is known for good."""
+        """Returns whether `finish` can't change the attempt's outcome."""
         program = self.programs.get(finish.key.program_key)
         if program is None:
             return True
--- a/catkinpin/core/programs/outbox.py
+++ b/catkinpin/core/programs/outbox.py
@@ -1,25 +1,25 @@
-"""Orders to engines to release the memory of programs that are gone.
+"""Orders to engines to release the memory of programs that have ended.
 
-An order stays until the engine confirms it or shows a new incarnation, whose
-memory is empty. Without the outbox a lost order would leave a prefix in an
-engine's cache for good, noticed only as a cache that holds less and less.
+An order is kept until the engine confirms it, or reports a new incarnation,
+whose memory is empty. Otherwise a lost order would leave a prefix in the
+engine's cache for good, and the cache's usable size would shrink unnoticed.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-# An order to a server that stays away is dropped after this long: when the
-# server returns, its report of held programs brings the order back.
-_KEPT_MS = 3_600_000
+# An order to a server that does not return is dropped after this time. If the
+# server returns later, a new order follows from its report of held programs.
+_ORDER_RETENTION_MS = 3_600_000
 
 
 @dataclasses.dataclass(slots=True)
 class Order:
-    """Release of one program's memory at one server.
+    """An order to release one program's memory on one server.
 
     Attributes:
-        program: account and id as the engine knows the program.
+        program: account and id, as the engine names the program.
         made_ms: wall time of the order.
     """
 
@@ -31,19 +31,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Outbox:
-    """Orders not yet confirmed, by server and program, oldest first."""
+    """Unconfirmed orders by server and program, oldest first."""
 
     orders: dict[str, dict[str, Order]] = dataclasses.field(
         default_factory=dict
     )
 
     def add(self, order: Order) -> None:
-        """Adds an order; it replaces one to an earlier incarnation."""
+        """Adds an order; it replaces an earlier one for the same program."""
         known = self.orders.setdefault(order.server, {})
         known[order.program] = order
-        oldest = order.made_ms - _KEPT_MS
-        while (first := next(iter(known.values()))).made_ms < oldest:
-            del known[first.program]
+        min_made_ms = order.made_ms - _ORDER_RETENTION_MS
+        while (oldest := next(iter(known.values()))).made_ms < min_made_ms:
+            del known[oldest.program]
 
     def pending(self, server: str) -> list[Order]:
         """Returns the orders for a server."""
@@ -53,24 +53,24 @@
         """Returns the servers that have orders."""
         return list(self.orders)
 
-    def confirmed(
+    def drop_confirmed(
         self, server: str, incarnation: str, programs: list[str]
     ) -> None:
-        """Drops the orders that this incarnation carried out."""
+        """Drops the orders that this incarnation has carried out."""
         known = self.orders.get(server, {})
         for program in programs:
             order = known.get(program)
             if order is not None and order.incarnation == incarnation:
                 del known[program]
-        self._tidy(server)
+        self._remove_if_empty(server)
 
-    def restarted(self, server: str, incarnation: str) -> None:
-        """Drops the orders to other incarnations: their memory is gone."""
+    def drop_other_incarnations(self, server: str, incarnation: str) -> None:
+        """Drops the orders to other incarnations, whose memory is gone."""
         for order in self.pending(server):
             if order.incarnation != incarnation:
                 del self.orders[server][order.program]
-        self._tidy(server)
+        self._remove_if_empty(server)
 
-    def _tidy(self, server: str) -> None:
+    def _remove_if_empty(self, server: str) -> None:
         if not self.orders.get(server):
             self.orders.pop(server, None)
--- a/catkinpin/core/programs/outcomes.py
+++ b/catkinpin/core/programs/outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from an attempt's outcome: answers, and the server's record."""
+"""Replies to waiting entries, and records of attempts' outcomes."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class Outcomes:
-    """Answers those who wait for a call that is over.
+    """Replies to the entries that wait for calls.
 
     Args:
-        state: the shard's state, only read here.
-        waiters: who waits for which call.
-        admissions: begins whose record is proposed.
-        outliers: servers that fail more than others.
+        state: the shard's state, which is only read.
+        waiters: entries that wait for calls.
+        admissions: calls whose `CallBegun` record is proposed.
+        outliers: servers that fail more often than others.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._admissions = admissions
         self._outliers = outliers
 
-    def record(
+    def finished_record(
         self, finish: messages.Finish, wall_ms: int
     ) -> records.AttemptFinished:
         """Returns the record of an outcome that an entry reports."""
@@ -61,7 +61,7 @@
             crashed=finish.crashed,
         )
 
-    def refuse_retry(
+    def retry_refusal(
         self,
         call: Call,
         record: records.AttemptFinished,
@@ -79,51 +79,53 @@
         )
 
     def answer(self, effect: effects.CallAnswered) -> list[Command]:
-        """Answers all who wait for a call."""
+        """Sends the answer of a call to all its waiters."""
         return [
-            replies.final(waiter, effect.key, effect.call)
+            replies.final_reply(waiter, effect.key, effect.call)
             for waiter in self._waiters.remove_all(effect.key)
         ]
 
     def reject(self, effect: effects.BeginRejected) -> list[Command]:
-        """Refuses a call that may not begin to all who wait for it."""
+        """Sends the rejection of a new call to all its waiters."""
         verdict = self._shard.verdict_of(effect.begin.key)
         return [
             replies.refuse_rejected(waiter, effect, verdict)
             for waiter in self._waiters.remove_all(effect.begin.key)
         ]
 
-    def judge_server(
+    def update_outliers(
         self,
-        watched: attempts.Watched,
+        tracked: attempts.TrackedAttempt,
         record: records.AttemptFinished,
         now_ms: int,
     ) -> None:
-        """Notes whether a server answered or failed."""
+        """Counts an outcome as a success or a failure of its server."""
         if record.answer is not None:
-            self._outliers.succeeded(watched.server)
+            self._outliers.succeeded(tracked.server)
         elif record.reason in (Reason.SERVER_FAILED, Reason.SERVER_REFUSED):
-            self._outliers.failed(watched.server, now_ms)
+            self._outliers.failed(tracked.server, now_ms)
 
     def refuse(
         self, key: CallKey, refusal: records.CallRefused
     ) -> list[Command]:
-        """Refuses a call to all who wait for it."""
+        """Sends the refusal of a call to all its waiters."""
         return [
             replies.refuse_recorded(waiter, refusal)
             for waiter in self._waiters.remove_all(key)
         ]
 
     def answer_stale(self, key: CallKey, verdict: Verdict) -> list[Command]:
-        """Answers who reported an outcome for a call that is not open."""
-        if self._shard.find_open(key) is not None or self._admissions.proposed(
+        """Replies to all waiters of a call that is not open or proposed."""
+        if self._shard.find_open(
             key
-        ):
+        ) is not None or self._admissions.find_proposed(key):
             return []
         closed = self._shard.find_closed(key)
         waiters = self._waiters.remove_all(key)
         if closed is not None:
-            return [replies.final(waiter, key, closed) for waiter in waiters]
+            return [
+                replies.final_reply(waiter, key, closed) for waiter in waiters
+            ]
         text = "the call was given up on before this outcome came"
         return [
             replies.refuse(
@@ -131,13 +133,15 @@
                 waiter.ask,
                 Reason.OUTCOME_UNKNOWN,
                 text,
-                verdict=max(verdict, self._shard.verdict_of(key), key=_worse),
+                verdict=max(
+                    verdict, self._shard.verdict_of(key), key=_severity
+                ),
             )
             for waiter in waiters
         ]
 
 
-def _worse(verdict: Verdict) -> int:
-    """Orders verdicts by how much may have happened."""
+def _severity(verdict: Verdict) -> int:
+    """Returns a rank, which is higher the more may have run."""
     order = (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN)
     return order.index(verdict)
--- a/catkinpin/core/programs/program.py
+++ b/catkinpin/core/programs/program.py
@@ -1,7 +1,7 @@
-"""Data of a program and its calls, as the shard's state machine keeps them.
+"""State of a program and its calls in the shard's state machine.
 
-Everything here is part of a snapshot: plain data classes without texts, and
-dictionaries in place of sets, whose order would differ between replicas.
+All of it is part of snapshots. The classes hold no message texts, and use
+dictionaries instead of sets, whose order would differ between replicas.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 from catkinpin.core.programs.records import CallRefused, Choice, ProgramLimits
 from catkinpin.verdicts import Verdict
 
-# Answers of idempotent calls that a live program keeps for resends. A program
-# that has made this many calls since has long seen the older answers; those of
-# non-idempotent calls are all kept, as running one again would be an effect.
-_KEPT_ANSWERS = 32
+# Closed calls of a live program whose answers are all kept for resends. Older
+# answers are kept for non-idempotent calls only, because running one again
+# would repeat its effect. A program that has made this many calls since has
+# received its older answers.
+_KEPT_CALLS = 32
 
 
 class CallState(enum.Enum):
-    """Where an open call stands."""
+    """State of an open call."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -33,9 +34,9 @@
     """One dispatch of a call.
 
     Attributes:
-        attempt: id, unique for ever: shard name and log index.
-        reserved: tokens held from the budget until the outcome is known.
-        skip: messages of the request that the history holds already.
+        attempt: id, which is never reused: shard name and log index.
+        reserved: tokens reserved from the budget until the outcome is known.
+        skip: number of the request's messages that the history already holds.
     """
 
     attempt: str
@@ -47,12 +48,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """A call without a final answer.
+    """An open call: one without a final answer.
 
     Attributes:
         begin: the request as admitted.
-        seq: its place; 0 until a call that named none gets its turn.
-        content: digest of all that a server would get, for quarantine.
+        seq: sequence number in the program; if the request has none, 0 until
+            the first attempt starts.
+        content: digest of all that a server would receive, for quarantine.
         verdict: the worst verdict of the attempts so far.
         failed_servers: servers that failed this call, oldest first.
     """
@@ -69,18 +71,18 @@
 
     @property
     def key(self) -> CallKey:
-        """Names the call."""
+        """Returns the key of the call."""
         return self.begin.key
 
 
 @dataclasses.dataclass(slots=True)
 class ClosedCall:
-    """A call that has its final answer, kept for resends.
+    """A closed call: its final answer is kept for resends.
 
     Attributes:
         record_index: log index of the record that holds the answer.
-        refusal: the final answer where no server's answer came.
-        unknown: id of the attempt whose outcome is not known, or empty.
+        refusal: the final answer if it is not a server's.
+        unknown: id of the attempt whose outcome is unknown, or empty.
     """
 
     seq: int
@@ -94,26 +96,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Program:
-    """A program's index: everything but the texts.
+    """A program without its message texts.
 
-    Budget, limits and turns of a whole tree stand at its root.
+    Budget, limits and turns of a whole tree are counted at its root.
 
     Attributes:
-        open: calls without a final answer by request id, oldest first.
-        closed: calls with a final answer by request id, oldest first.
-        spent: tokens settled.
-        reserved: tokens held for attempts whose outcome is not known yet.
-        overcounted: tokens that engines reported beyond what was granted.
-        unknown: reserve of each attempt that ended with unknown outcome.
-        maybe_ran: request ids of calls that were given up on and may have
-            run: no refusal of a resend may say that they did not.
-        turns: calls that were answered; at the root, those of the tree.
-        last_server: the server that last answered, likely to hold the prefix.
-        last_target: the model that last answered.
-        history_tokens: size of the history as that engine counted it.
-        servers: incarnation of each server that may hold the prefix.
-        members: ids of the sub-agents; kept at the root.
-        once: whether the caller named no program, so that no call follows.
+        open: open calls by request id, oldest first.
+        closed: closed calls by request id, oldest first.
+        spent: tokens charged by settled attempts.
+        reserved: tokens reserved for attempts that run or whose outcome is
+            unknown.
+        overcounted: tokens that engines reported beyond the budget.
+        unknown: reserved tokens of each attempt settled as unknown, by id.
+        maybe_ran: request ids of calls that may have run but were not kept
+            when they closed; no refusal of a resend may say "not run".
+        turns: answered calls; at the root, those of the whole tree.
+        last_server: server of the last answer, likely to hold the prefix.
+        last_target: model of the last answer.
+        history_tokens: size of the history as counted by that engine.
+        servers: incarnation of each server that may hold the prefix, by name.
+        members: ids of the sub-agents; only set at the root.
+        once: whether the caller named no program, so that this call is its
+            only one.
         active_ms: wall time of the last call or answer.
     """
 
@@ -144,11 +148,11 @@
 
     @property
     def root_key(self) -> ProgramKey:
-        """Names the root of this program's tree."""
+        """Returns the key of the root of this program's tree."""
         root = sharding.root_of(self.key.program)
         return ProgramKey(account=self.key.account, program=root)
 
-    def running(self) -> Call | None:
+    def running_call(self) -> Call | None:
         """Returns the call that holds an attempt, or None."""
         for call in self.open.values():
             if call.state is CallState.RUNNING:
@@ -156,27 +160,27 @@
         return None
 
     def next_call(self) -> Call | None:
-        """Returns the call whose turn it is, or None while one runs.
+        """Returns the call that may start now, or None.
 
-        A call that named its place goes first; one that named none takes the
-        place that is free when it is the oldest.
+        No call may start while another runs. The call with the next sequence
+        number comes first, then the oldest call without a number.
         """
-        if self.running() is not None:
+        if self.running_call() is not None:
             return None
-        unplaced = None
+        unnumbered = None
         for call in self.open.values():
             if call.seq == self.next_seq:
                 return call
-            if not call.seq and unplaced is None:
-                unplaced = call
-        return unplaced
+            if not call.seq and unnumbered is None:
+                unnumbered = call
+        return unnumbered
 
     def close(self, call: Call, closed: ClosedCall | None) -> None:
-        """Takes a call off the open ones.
+        """Removes a call from the open calls.
 
         Args:
             call: the call.
-            closed: what resends get. None keeps no trace: the place of the
+            closed: what resends get. With None the sequence number of the
                 call stays free, and a resend is a new call.
         """
         request_id = call.key.request_id
@@ -192,7 +196,7 @@
         self._drop_old_answers()
 
     def _drop_old_answers(self) -> None:
-        surplus = len(self.closed) - _KEPT_ANSWERS
+        surplus = len(self.closed) - _KEPT_CALLS
         if surplus <= 0:
             return
         for request_id, closed in list(self.closed.items())[:surplus]:
@@ -200,8 +204,8 @@
                 del self.closed[request_id]
 
 
-def same_request(call: Call | ClosedCall | Begin, begin: Begin) -> bool:
-    """Returns whether `begin` resends `call` and is not another request."""
+def is_same_request(call: Call | ClosedCall | Begin, begin: Begin) -> bool:
+    """Returns whether `begin` is the same request as `call`."""
     known = call.begin if isinstance(call, Call) else call
     return (
         known.fingerprint == begin.fingerprint and known.target == begin.target
--- a/catkinpin/core/programs/quarantine.py
+++ b/catkinpin/core/programs/quarantine.py
@@ -1,25 +1,28 @@
 """Requests that crash servers: suspects, strikes and quarantine.
 
-A request on a server that crashed gets a strike, whether it is at fault
-or not. Suspects run apart from one another, so that the next crash tells them
-apart; an answer clears a suspect. With two strikes the content is quarantined,
-under whatever request id, program or account it comes again.
-
-A broken connection is not yet a crash. A strike is open until the server shows
-the same incarnation again (no crash) or a new one, or stays silent (a crash).
+Every request that was running on a server when it crashed gets a strike and is
+a suspect, whether it is at fault or not. Suspects run on different servers, so
+that the next crash shows which one is at fault; an answer clears a suspect.
+Content with two strikes is quarantined, whatever request id, program or account
+it comes with.
+
+A broken connection is not yet a crash. A strike is open until the server
+reports the same incarnation again (no crash), reports a new one, or stays
+silent (a crash).
 """
 
 from __future__ import annotations
 
 import dataclasses
 
+# Crashes of servers after which a content is quarantined.
 MAX_CRASHES = 2
 _MAX_SUSPECTS = 10_000
 
 
 @dataclasses.dataclass(slots=True)
 class Strike:
-    """A break of the connection to a server while it held the request."""
+    """A connection to a server broke while the request was running there."""
 
     server: str
     incarnation: str
@@ -36,10 +39,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Quarantine:
-    """Suspects by content digest, in hex, and what is quarantined.
+    """Suspects and quarantined contents by content digest, in hex.
 
     Attributes:
-        refused: what is quarantined here until the control group holds it.
+        refused: contents quarantined here and not yet by the control group.
     """
 
     suspects: dict[str, Suspect] = dataclasses.field(default_factory=dict)
@@ -48,22 +51,22 @@
     def add_strike(
         self, content: bytes, server: str, incarnation: str, at_ms: int
     ) -> None:
-        """Notes that the request was running when its connection broke."""
+        """Adds a strike: a connection broke while the content was running."""
         suspect = self.suspects.setdefault(content.hex(), Suspect())
         suspect.strikes.append(Strike(server, incarnation, at_ms))
         if len(self.suspects) > _MAX_SUSPECTS:
             self.suspects.pop(next(iter(self.suspects)))
 
     def resolve(self, server: str, incarnation: str, crashed: bool) -> None:
-        """Decides the open strikes of one incarnation of a server."""
+        """Confirms or drops the open strikes of a server's incarnation."""
         for content, suspect in list(self.suspects.items()):
             kept = []
             for strike in suspect.strikes:
-                of_this = (strike.server, strike.incarnation) == (
+                matches = (strike.server, strike.incarnation) == (
                     server,
                     incarnation,
                 )
-                if of_this and not strike.confirmed:
+                if matches and not strike.confirmed:
                     if not crashed:
                         continue
                     strike.confirmed = True
@@ -73,50 +76,50 @@
                 del self.suspects[content]
 
     def quarantine_repeated(self) -> list[bytes]:
-        """Quarantines content with too many crashes; returns what is new."""
-        found = [
+        """Quarantines contents with too many crashes and returns them."""
+        repeated = [
             content
             for content, suspect in self.suspects.items()
             if sum(strike.confirmed for strike in suspect.strikes)
             >= MAX_CRASHES
         ]
-        for content in found:
+        for content in repeated:
             del self.suspects[content]
             self.refused[content] = None
-        return [bytes.fromhex(content) for content in found]
+        return [bytes.fromhex(content) for content in repeated]
 
-    def shared(self, contents: list[bytes]) -> None:
-        """Notes that the control group holds these: it may lift them later."""
+    def mark_shared(self, contents: list[bytes]) -> None:
+        """Drops contents that the control group took over; it may lift them."""
         for content in contents:
             self.refused.pop(content.hex(), None)
 
-    def to_share(self) -> list[bytes]:
-        """Returns what the control group does not hold yet."""
+    def unshared_contents(self) -> list[bytes]:
+        """Returns the contents that the control group has not taken over."""
         return [bytes.fromhex(content) for content in sorted(self.refused)]
 
-    def cleared(self, content: bytes) -> None:
-        """Notes that the request was answered: it crashes nothing."""
+    def clear_suspect(self, content: bytes) -> None:
+        """Clears a content of suspicion, because a server answered it."""
         self.suspects.pop(content.hex(), None)
 
     def is_refused(self, content: bytes) -> bool:
-        """Returns whether no server may get the content."""
+        """Returns whether the content is quarantined here."""
         return content.hex() in self.refused
 
     def is_suspect(self, content: bytes) -> bool:
-        """Returns whether the content must run apart from other suspects."""
+        """Returns whether the content must not share a server with suspects."""
         return content.hex() in self.suspects
 
     def must_wait(self, content: bytes) -> bool:
-        """Returns whether open strikes must be decided before another run.
+        """Returns whether strikes must be resolved before the next run.
 
-        A third run while the second break is undecided could cost a third
+        A third run before the second strike is resolved could crash a third
         server.
         """
         suspect = self.suspects.get(content.hex())
         return suspect is not None and len(suspect.strikes) >= MAX_CRASHES
 
     def open_strikes(self) -> list[Strike]:
-        """Returns the strikes that are not decided."""
+        """Returns the strikes that are not resolved yet."""
         return [
             strike
             for suspect in self.suspects.values()
--- a/catkinpin/core/programs/queries.py
+++ b/catkinpin/core/programs/queries.py
@@ -1,4 +1,4 @@
-"""Answers to questions about programs, and orders to end them."""
+"""Requests of entries about programs: their state and their end."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class ProgramQueries:
-    """Answers what entries ask about programs.
+    """Handles requests about programs.
 
     Args:
-        state: the shard's state, only read here.
+        state: the shard's state, which is only read.
     """
 
     def __init__(self, state: Shard) -> None:
@@ -27,7 +27,7 @@
     def get_program(
         self, entry: EntryRef, get: messages.GetProgram
     ) -> list[Command]:
-        """Answers with a program's state."""
+        """Replies with a program's state."""
         program = self._shard.programs.get(get.key)
         if program is None:
             text = f"program {get.key.program!r} is not known"
@@ -39,7 +39,7 @@
     def end_program(
         self, entry: EntryRef, end: messages.EndProgram, wall_ms: int
     ) -> list[Command]:
-        """Ends a program."""
+        """Proposes the end of a program and replies with its state."""
         get = messages.GetProgram(ask=end.ask, key=end.key)
         commands = self.get_program(entry, get)
         if end.key not in self._shard.programs:
@@ -52,7 +52,7 @@
     def release_done(
         self, done: messages.ReleaseDone, wall_ms: int
     ) -> list[Command]:
-        """Notes that a server released programs."""
+        """Proposes the record that a server released programs' memory."""
         if not self._shard.outbox.pending(done.server):
             return []
         record = records.MemoryReleased(
--- a/catkinpin/core/programs/records.py
+++ b/catkinpin/core/programs/records.py
@@ -1,4 +1,4 @@
-"""Records of a shard's log: what its state machine is rebuilt from."""
+"""Records of a shard's log, from which its state machine is rebuilt."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
     """The leader's choice of a server for the next attempt.
 
     Attributes:
-        entry: process id of the entry that the grant is for.
-        entry_incarnation: of that entry; another can't use the grant.
+        entry: process id of the entry that gets the grant.
+        entry_incarnation: incarnation of that entry; no other can use the
+            grant.
     """
 
     server: ServerRef
@@ -30,13 +31,13 @@
 
 
 class ProgramLimits(Message, frozen=True):
-    """What a program with its sub-agents may use, from its deployment.
+    """Limits of a program with its sub-agents, set by its deployment.
 
     Attributes:
         max_turns: answered calls of the whole tree.
-        max_age_ms: time from the first call.
-        idle_ms: time without a call after which the program is over.
-        retain_ms: how long answers are kept for resends after the end.
+        max_age_ms: time from the first call to the end of the program.
+        idle_ms: time without a call after which the program ends.
+        retain_ms: time after the end for which answers are kept for resends.
     """
 
     budget_tokens: int
@@ -47,7 +48,7 @@
 
 
 class CallBegun(Message, frozen=True):
-    """A call was admitted; with a choice, its first attempt starts too."""
+    """A call was admitted; if a choice is given, its first attempt starts."""
 
     at_ms: int
     begin: Begin
@@ -56,7 +57,7 @@
 
 
 class AttemptStarted(Message, frozen=True):
-    """A waiting call, or one to be tried again, got a server."""
+    """A call that waited, or is retried, was assigned a server."""
 
     at_ms: int
     key: CallKey
@@ -79,7 +80,7 @@
 
 
 class CallRefused(Message, frozen=True):
-    """A call got its final answer without a backend server's answer."""
+    """A call was closed with a refusal, without a server's answer."""
 
     at_ms: int
     key: CallKey
@@ -90,10 +91,10 @@
 
 
 class ProgramEnded(Message, frozen=True):
-    """A program is over: asked for, idle, or stopped by a limit.
+    """A program ends: on request, because it is idle, or at a limit.
 
     Attributes:
-        if_idle: whether a call that has come meanwhile makes this void.
+        if_idle: whether the record has no effect if a call is open.
     """
 
     at_ms: int
@@ -103,18 +104,18 @@
 
 
 class ProgramsForgotten(Message, frozen=True):
-    """Programs ended so long ago that no resend is expected any more."""
+    """Programs are forgotten: they ended so long ago that no resend follows."""
 
     at_ms: int
     keys: list[ProgramKey]
 
 
 class MemoryReleased(Message, frozen=True):
-    """A server's incarnation released programs.
+    """A server's incarnation released the memory of programs.
 
     Attributes:
-        empty: whether the server showed this incarnation for the first time,
-            so that what earlier ones held is gone.
+        empty: whether the incarnation is new, so that the memory of earlier
+            ones is gone.
     """
 
     at_ms: int
@@ -125,7 +126,7 @@
 
 
 class IncarnationEnded(Message, frozen=True):
-    """Whether a server incarnation whose connections broke is over."""
+    """Tells whether an incarnation with broken connections has crashed."""
 
     at_ms: int
     server: str
@@ -134,7 +135,7 @@
 
 
 class QuarantineShared(Message, frozen=True):
-    """The control group holds the quarantine of these contents."""
+    """The control group took over the quarantine of these contents."""
 
     at_ms: int
     contents: list[bytes]
--- a/catkinpin/core/programs/replies.py
+++ b/catkinpin/core/programs/replies.py
@@ -1,4 +1,4 @@
-"""Builds a leader's messages to entries."""
+"""Builds the messages of a shard's leader to entries."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from catkinpin.core.programs.waiters import Waiter
     from catkinpin.verdicts import Reason
 
-# A grant must be used within this time of its receipt.
+# An entry must use a grant within this time of its receipt.
 GRANT_EXPIRES_MS = 1_000
 
 
@@ -55,7 +55,7 @@
 def refuse_rejected(
     waiter: Waiter, rejected: BeginRejected, verdict: Verdict
 ) -> Send:
-    """Returns the refusal of a begin that did not fit the state."""
+    """Returns the refusal of a call that was not admitted."""
     return refuse(
         waiter.entry,
         waiter.ask,
@@ -68,7 +68,7 @@
 
 
 def refuse_recorded(waiter: Waiter, refusal: records.CallRefused) -> Send:
-    """Returns a refusal that is in the log."""
+    """Returns a refusal that the log holds."""
     return refuse(
         waiter.entry,
         waiter.ask,
@@ -79,8 +79,8 @@
     )
 
 
-def final(waiter: Waiter, key: CallKey, closed: ClosedCall) -> Command:
-    """Returns the final answer of a call to one that waits for it."""
+def final_reply(waiter: Waiter, key: CallKey, closed: ClosedCall) -> Command:
+    """Returns the final answer of a closed call to a waiter."""
     if closed.refusal is not None:
         return refuse_recorded(waiter, closed.refusal)
     return SendAnswer(
@@ -99,7 +99,7 @@
     attempt: Attempt,
     now_ms: int,
 ) -> Command:
-    """Returns the grant of an attempt to the entry that asked."""
+    """Returns the grant of an attempt to a waiter's entry."""
     begin = call.begin
     message = messages.Granted(
         ask=waiter.ask,
@@ -122,7 +122,7 @@
 def program_state(
     ask: int, program: Program, root: Program
 ) -> messages.ProgramInfo:
-    """Returns a program's state; the budget is that of its root."""
+    """Returns a program's state, with the budget of its root."""
     return messages.ProgramInfo(
         ask=ask,
         key=program.key,
--- a/catkinpin/core/programs/rules.py
+++ b/catkinpin/core/programs/rules.py
@@ -1,4 +1,4 @@
-"""Rules of a shard's state machine that need no state of their own."""
+"""Stateless rules of a shard's state machine."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 _RETRY_AFTER_MS = 1_000
 
 
-def ancestors(program: str) -> Iterator[str]:
-    """Yields the ids that a sub-agent's id begins with, its root's first."""
+def ancestor_ids(program: str) -> Iterator[str]:
+    """Yields the ids of a sub-agent's ancestors, its root's first."""
     parts = program.split(sharding.SUB_AGENT_SEPARATOR)
     for length in range(1, len(parts)):
         yield sharding.SUB_AGENT_SEPARATOR.join(parts[:length])
 
 
 def limit_reached(root: Program, at_ms: int) -> str:
-    """Returns which limit a tree of programs has reached, or an empty text."""
+    """Returns a text on the limit that a tree has reached, empty if none."""
     limits = root.limits
     if root.turns >= limits.max_turns:
         return f"the program has made {limits.max_turns} turns, its limit"
@@ -34,8 +34,8 @@
     return ""
 
 
-def is_traceless(program: Program) -> bool:
-    """Returns whether nothing of the program ever ran."""
+def has_never_run(program: Program) -> bool:
+    """Returns whether no call of the program can ever have run."""
     return not (
         program.closed
         or program.unknown
@@ -54,7 +54,7 @@
     retry_after_ms: int = 0,
     verdict: Verdict | None = None,
 ) -> records.CallRefused:
-    """Returns a call's refusal; it says the worst that may have happened."""
+    """Returns a refusal of a call, by default with the call's verdict."""
     return records.CallRefused(
         at_ms=at_ms,
         key=call.key,
@@ -65,10 +65,10 @@
     )
 
 
-def failure(
+def failure_refusal(
     program: Program, call: Call, record: records.AttemptFinished
 ) -> records.CallRefused:
-    """Returns the refusal of a call that is not tried again."""
+    """Returns the refusal of a call whose last attempt failed."""
     reason = record.reason or Reason.SERVER_FAILED
     text = record.text
     verdict = record.verdict
@@ -78,26 +78,28 @@
         if program.ended:
             reason = Reason.PROGRAM_ENDED
             text = f"the program has ended: {program.end_reason}"
-    retry = 0
+    retry_after_ms = 0
     if not program.ended and (
         verdict is Verdict.NOT_RUN or call.begin.idempotent
     ):
-        retry = _RETRY_AFTER_MS
-    return refusal(record.at_ms, call, reason, text, retry, verdict)
+        retry_after_ms = _RETRY_AFTER_MS
+    return refusal(record.at_ms, call, reason, text, retry_after_ms, verdict)
 
 
-def fits(begin: Begin, skip: int, record: records.AttemptFinished) -> bool:
-    """Returns whether an answer's messages are the request's and one more.
+def answer_matches_request(
+    begin: Begin, skip: int, record: records.AttemptFinished
+) -> bool:
+    """Returns whether a record has the request's messages and an answer.
 
-    An entry that mixed up two calls would put one program's messages into
-    another's history; the digests it sent with the begin show that.
+    If an entry confused two calls, one program's messages would get into the
+    other's history. The digests that it sent with the begin reveal that.
     """
     if begin.kind != "model":
         return not record.messages
-    asked = begin.digests[skip:]
-    if len(record.messages) != len(asked) + 1:
+    expected = begin.digests[skip:]
+    if len(record.messages) != len(expected) + 1:
         return False
     return all(
         digest.of_bytes(message) == item
-        for message, item in zip(record.messages, asked, strict=False)
+        for message, item in zip(record.messages, expected, strict=False)
     )
--- a/catkinpin/core/programs/shard.py
+++ b/catkinpin/core/programs/shard.py
@@ -1,9 +1,8 @@
-"""State machine of a program shard: rebuilt from its log on every replica.
+"""State machine of a program shard, which every replica builds from the log.
 
-The leader proposes records; each replica applies the committed ones in the
-same order and so holds the same state. Records are checked when they are
-applied, not when they are proposed: what was true at the proposal may have
-changed by then.
+The leader proposes records. Every replica applies the committed records in the
+same order and so reaches the same state. A record is checked when it is
+applied, because the state may have changed since it was proposed.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
     CallAnswered,
     CallGranted,
     CallReady,
-    CallTurnedDown,
+    CallRejected,
     ContentQuarantined,
     Effect,
 )
@@ -36,7 +35,7 @@
     from collections.abc import Iterator
 
 
-# Dispatches of one call; a request that every server fails ends here.
+# Dispatches of one call. Bounds the retries if every server fails it.
 MAX_ATTEMPTS = 8
 _RETRY_AFTER_MS = 1_000
 
@@ -44,17 +43,17 @@
 
 
 class Shard(ProgramEndings):
-    """The programs of one shard.
+    """Applies the records of one shard and holds its programs.
 
     Attributes:
-        shards: number of program shards in the system.
-        quarantine: requests that crash servers.
+        shard_count: number of program shards in the system.
+        quarantine: request contents that crash servers.
     """
 
-    def __init__(self, name: str, shards: int = 1) -> None:
+    def __init__(self, name: str, shard_count: int = 1) -> None:
         super().__init__()
         self.name = name
-        self.shards = shards
+        self.shard_count = shard_count
         self.quarantine = Quarantine()
 
     def apply(self, index: int, record: records.ShardRecord) -> list[Effect]:
@@ -65,31 +64,31 @@
             record: the record.
 
         Returns:
-            What follows from it; only the leader acts on that.
+            The record's effects. Only the leader acts on them.
         """
         match record:
             case records.CallBegun():
-                return self._call_begun(index, record)
+                return self._apply_call_begun(index, record)
             case records.AttemptStarted():
-                return self._attempt_started(index, record)
+                return self._apply_attempt_started(index, record)
             case records.AttemptFinished():
-                return self._attempt_finished(index, record)
+                return self._apply_attempt_finished(index, record)
             case records.CallRefused():
-                return self._call_refused(record)
+                return self._apply_call_refused(record)
             case records.ProgramEnded():
-                return self.program_ended(record)
+                return self.apply_program_ended(record)
             case records.ProgramsForgotten():
-                return self.forget(record)
+                return self.apply_programs_forgotten(record)
             case records.MemoryReleased():
-                return self.memory_released(record)
+                return self.apply_memory_released(record)
             case records.IncarnationEnded():
-                return self._incarnation_ended(record)
+                return self._apply_incarnation_ended(record)
             case records.QuarantineShared():
-                self.quarantine.shared(record.contents)
+                self.quarantine.mark_shared(record.contents)
                 return []
 
     def snapshot(self) -> bytes:
-        """Returns the state, without the texts."""
+        """Returns the encoded state, without message texts."""
         return codec.encode(
             ShardSnapshot(
                 name=self.name,
@@ -100,30 +99,30 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by a snapshot.
+        """Replaces the state with that of a snapshot.
 
         Raises:
             msgspec.ValidationError: the data is not a snapshot of this version.
         """
-        found: ShardSnapshot = _decoder.decode(data)
-        found.check_version()
-        self.programs = {program.key: program for program in found.programs}
-        self.outbox = found.outbox
-        self.quarantine = found.quarantine
+        decoded: ShardSnapshot = _decoder.decode(data)
+        decoded.check_version()
+        self.programs = {program.key: program for program in decoded.programs}
+        self.outbox = decoded.outbox
+        self.quarantine = decoded.quarantine
 
     def referenced(self) -> Iterator[int]:
-        """Yields log indexes whose records hold texts that are still read."""
+        """Yields the indexes of log records whose texts are still needed."""
         for program in self.programs.values():
-            last = 0
+            last_index = 0
             for item in program.history:
-                if item.record_index != last:
-                    last = item.record_index
-                    yield last
+                if item.record_index != last_index:
+                    last_index = item.record_index
+                    yield last_index
             for closed in program.closed.values():
                 if closed.record_index:
                     yield closed.record_index
 
-    def _call_begun(
+    def _apply_call_begun(
         self, index: int, record: records.CallBegun
     ) -> list[Effect]:
         begin = record.begin
@@ -133,7 +132,7 @@
         rejected = self.check_begin(begin)
         if rejected is not None:
             return [rejected]
-        program = self.program_for(record)
+        program = self.get_or_create_program(record)
         call = Call(
             begin=begin,
             seq=begin.seq,
@@ -156,19 +155,19 @@
         call: Call,
         choice: records.Choice | None,
     ) -> list[Effect]:
-        """Starts an attempt, or says why there can't be one."""
+        """Starts an attempt, or rejects the call if it may not have one."""
         call.content = self.content_digest(call.begin)
-        refusal = self._obstacle(at_ms, program, call)
+        refusal = self._check_attempt(at_ms, program, call)
         if refusal is not None:
-            return self._turn_down(program, call, refusal)
+            return self._reject_call(program, call, refusal)
         if choice is None or self.quarantine.must_wait(call.content):
             return [CallReady(program, call)]
         root = self.root_of(program)
         begin = call.begin
         reserved = 0
-        prompt = budgets.prompt_bound(program, begin)
+        prompt = budgets.max_prompt_tokens(program, begin)
         if begin.kind == "model":
-            reserved = budgets.worst_case(root, prompt, begin.max_tokens)
+            reserved = budgets.tokens_to_reserve(root, prompt, begin.max_tokens)
         call.attempt = Attempt(
             attempt=f"{self.name}-{index}",
             choice=choice,
@@ -184,46 +183,46 @@
             program.servers[choice.server.server] = choice.server.incarnation
         return [CallGranted(program, call)]
 
-    def _obstacle(
+    def _check_attempt(
         self, at_ms: int, program: Program, call: Call
     ) -> records.CallRefused | None:
-        """Returns the refusal of a call that may not get an attempt."""
+        """Returns a refusal if the call may not have an attempt, else None."""
         begin = call.begin
         root = self.root_of(program)
         if limit := rules.limit_reached(root, at_ms):
             return rules.refusal(at_ms, call, Reason.LIMIT_REACHED, limit)
         if begin.kind == "model" and begin.whole:
-            place = program.history.first_difference(begin.digests)
-            if place is not None:
-                text = f"messages[{place}] differs from the program's history"
+            index = program.history.first_difference(begin.digests)
+            if index is not None:
+                text = f"messages[{index}] differs from the program's history"
                 return rules.refusal(at_ms, call, Reason.HISTORY_CONFLICT, text)
         if self.quarantine.is_refused(call.content):
             text = "this request crashed servers and is quarantined"
             return rules.refusal(at_ms, call, Reason.QUARANTINED, text)
         if begin.kind != "model":
             return None
-        prompt = budgets.prompt_bound(program, begin)
-        if not budgets.worst_case(root, prompt, begin.max_tokens):
+        prompt = budgets.max_prompt_tokens(program, begin)
+        if not budgets.tokens_to_reserve(root, prompt, begin.max_tokens):
             text = "the program's token budget does not cover this call"
-            # What is reserved may come back when attempts settle.
-            wait = _RETRY_AFTER_MS if root.reserved else 0
+            # Reserved tokens may become available when attempts settle.
+            wait_ms = _RETRY_AFTER_MS if root.reserved else 0
             return rules.refusal(
-                at_ms, call, Reason.BUDGET_EXHAUSTED, text, wait
+                at_ms, call, Reason.BUDGET_EXHAUSTED, text, wait_ms
             )
         return None
 
-    def _turn_down(
+    def _reject_call(
         self,
         program: Program,
         call: Call,
         refusal: records.CallRefused,
-        unknown: str = "",
+        unknown_attempt: str = "",
     ) -> list[Effect]:
-        """Gives a call its final answer without a server's answer.
+        """Closes a call with a refusal instead of a server's answer.
 
-        A call takes its place for good only with an answer, or where it may
-        have run and must not run again. Otherwise no trace is kept: its place
-        stays free, and a resend under the same id is decided anew.
+        A non-idempotent call that ran, or may have, keeps its sequence number,
+        and resends get the same refusal. For any other call the number stays
+        free, and a resend under the same id is a new call.
         """
         closed = None
         if refusal.verdict is not Verdict.NOT_RUN and not call.begin.idempotent:
@@ -233,29 +232,29 @@
                 target=call.begin.target,
                 idempotent=False,
                 refusal=refusal,
-                unknown=unknown,
+                unknown=unknown_attempt,
             )
         program.close(call, closed)
-        effects: list[Effect] = [CallTurnedDown(call.key, refusal)]
+        effects: list[Effect] = [CallRejected(call.key, refusal)]
         if refusal.reason is Reason.LIMIT_REACHED:
             root = self.root_of(program)
             effects += self.end_tree(root, refusal.text, refusal.at_ms)
-        return effects + self._after_call(program)
+        return effects + self._continue_program(program)
 
-    def _after_call(self, program: Program) -> list[Effect]:
-        """Goes on once a call has its final answer."""
+    def _continue_program(self, program: Program) -> list[Effect]:
+        """Makes the next call ready once a call is closed."""
         if program.ended:
-            return self.memory_free(program)
-        if not program.open and rules.is_traceless(program):
-            self.drop(program)
+            return self.release_memory(program)
+        if not program.open and rules.has_never_run(program):
+            self.remove_program(program)
             return []
-        return self._advance(program)
+        return self._ready_effects(program)
 
-    def _advance(self, program: Program) -> list[Effect]:
+    def _ready_effects(self, program: Program) -> list[Effect]:
         call = program.next_call()
         return [] if call is None else [CallReady(program, call)]
 
-    def _attempt_started(
+    def _apply_attempt_started(
         self, index: int, record: records.AttemptStarted
     ) -> list[Effect]:
         found = self.find_open(record.key)
@@ -266,7 +265,7 @@
             return []
         return self._start(index, record.at_ms, program, call, record.choice)
 
-    def _attempt_finished(
+    def _apply_attempt_finished(
         self, index: int, record: records.AttemptFinished
     ) -> list[Effect]:
         program = self.programs.get(record.key.program_key)
@@ -274,19 +273,19 @@
             return []
         call = program.open.get(record.key.request_id)
         attempt = call.attempt if call is not None else None
-        # An answer of an earlier attempt that comes late must not end the
-        # present one: the caller would get an answer to another dispatch.
+        # A late outcome of an earlier attempt must not end the current one:
+        # the caller would get the answer to another dispatch.
         if (
             call is not None
             and attempt is not None
             and attempt.attempt == record.attempt
         ):
-            return self._outcome(index, program, call, attempt, record)
+            return self._apply_outcome(index, program, call, attempt, record)
         if record.attempt in program.unknown:
-            return self._late_outcome(index, program, call, record)
+            return self._apply_late_outcome(index, program, call, record)
         return []
 
-    def _outcome(
+    def _apply_outcome(
         self,
         index: int,
         program: Program,
@@ -297,38 +296,38 @@
         program.active_ms = record.at_ms
         call.attempt = None
         call.state = CallState.WAITING
-        self._settle(program, attempt, record)
-        self._judge_content(call, attempt, record)
+        self._settle_budget(program, attempt, record)
+        self._update_suspects(call, attempt, record)
         if record.verdict is Verdict.RAN and record.answer is not None:
-            if rules.fits(call.begin, attempt.skip, record):
-                return self._answered(index, program, call, attempt, record)
+            if rules.answer_matches_request(call.begin, attempt.skip, record):
+                return self._answer_call(index, program, call, attempt, record)
             text = "the entry's messages are not those of the request"
             refusal = rules.refusal(
                 record.at_ms, call, Reason.INTERNAL, text, verdict=Verdict.RAN
             )
-            return self._turn_down(program, call, refusal)
+            return self._reject_call(program, call, refusal)
         call.failed_servers.append(attempt.choice.server.server)
         if record.verdict is not Verdict.NOT_RUN:
             call.verdict = record.verdict
         if self._may_retry(program, call, record):
             return [CallReady(program, call)]
-        refusal = rules.failure(program, call, record)
-        return self._turn_down(program, call, refusal, record.attempt)
+        refusal = rules.failure_refusal(program, call, record)
+        return self._reject_call(program, call, refusal, record.attempt)
 
-    def _settle(
+    def _settle_budget(
         self,
         program: Program,
         attempt: Attempt,
         record: records.AttemptFinished,
     ) -> None:
         if record.verdict is Verdict.MAY_HAVE_RUN:
-            # The tokens may have been spent; the reserve stays held, so that
-            # an unknown outcome can never take the program past its budget.
+            # The tokens may have been spent. They stay reserved, so that an
+            # unknown outcome never takes the program over its budget.
             program.unknown[attempt.attempt] = attempt.reserved
             return
         budgets.settle(self.root_of(program), attempt.reserved, record.usage)
 
-    def _judge_content(
+    def _update_suspects(
         self, call: Call, attempt: Attempt, record: records.AttemptFinished
     ) -> None:
         server = attempt.choice.server
@@ -337,7 +336,7 @@
                 call.content, server.server, server.incarnation, record.at_ms
             )
         elif record.answer is not None:
-            self.quarantine.cleared(call.content)
+            self.quarantine.clear_suspect(call.content)
 
     def _may_retry(
         self, program: Program, call: Call, record: records.AttemptFinished
@@ -346,11 +345,11 @@
             return False
         if record.at_ms >= call.deadline_wall_ms:
             return False
-        # A non-idempotent request that may have run is never sent again: a
+        # A non-idempotent request that may have run is never retried: a
         # second dispatch could charge a customer twice.
         return call.begin.idempotent or record.verdict is Verdict.NOT_RUN
 
-    def _answered(
+    def _answer_call(
         self,
         index: int,
         program: Program,
@@ -384,21 +383,21 @@
         if program.once and not program.ended:
             reason = "a program without a name has one call"
             effects += self.end_tree(program, reason, record.at_ms)
-        return effects + self._after_call(program)
+        return effects + self._continue_program(program)
 
-    def _late_outcome(
+    def _apply_late_outcome(
         self,
         index: int,
         program: Program,
         call: Call | None,
         record: records.AttemptFinished,
     ) -> list[Effect]:
-        """Takes the outcome of an attempt that was settled as unknown.
+        """Applies the outcome of an attempt that was settled as unknown.
 
-        The budget is settled in any case. The answer counts where the call
-        still waits, and where the caller was told that its service call may
-        have run: a resend then gets the answer. A model's answer does not
-        count any more once later calls may have added to the history.
+        The budget is settled in any case. The answer is used if the call is
+        still waiting, or if the caller was told that its service call may
+        have run: a resend then gets it. A model's answer to a closed call is
+        dropped, since later calls may have added to the history.
         """
         if record.verdict is Verdict.MAY_HAVE_RUN:
             return []
@@ -408,9 +407,11 @@
             return []
         if call is not None:
             skip = len(program.history) if call.begin.whole else 0
-            waits = program.next_call() is call
-            if waits and rules.fits(call.begin, skip, record):
-                return self._answered(index, program, call, None, record)
+            is_next = program.next_call() is call
+            if is_next and rules.answer_matches_request(
+                call.begin, skip, record
+            ):
+                return self._answer_call(index, program, call, None, record)
             return []
         closed = program.closed.get(record.key.request_id)
         if closed is None or closed.unknown != record.attempt:
@@ -422,14 +423,14 @@
         closed.record_index = index
         return [CallAnswered(record.key, closed)]
 
-    def _call_refused(self, record: records.CallRefused) -> list[Effect]:
+    def _apply_call_refused(self, record: records.CallRefused) -> list[Effect]:
         found = self.find_open(record.key)
         if found is None:
             return []
         program, call = found
         if call.state is not CallState.WAITING:
             return []
-        # The call may have been dispatched since the refusal was proposed.
+        # The call may have run since the refusal and its verdict were proposed.
         refusal = rules.refusal(
             record.at_ms,
             call,
@@ -437,13 +438,13 @@
             record.text,
             record.retry_after_ms,
         )
-        return self._turn_down(program, call, refusal)
+        return self._reject_call(program, call, refusal)
 
-    def _incarnation_ended(
+    def _apply_incarnation_ended(
         self, record: records.IncarnationEnded
     ) -> list[Effect]:
         self.quarantine.resolve(
             record.server, record.incarnation, record.crashed
         )
-        found = self.quarantine.quarantine_repeated()
-        return [ContentQuarantined(content) for content in found]
+        repeated = self.quarantine.quarantine_repeated()
+        return [ContentQuarantined(content) for content in repeated]
--- a/catkinpin/core/programs/sharding.py
+++ b/catkinpin/core/programs/sharding.py
@@ -1,4 +1,4 @@
-"""Which log group a program belongs to."""
+"""Maps programs to log groups."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Returns the id of the root program of `program`.
 
     A sub-agent's id begins with its root's id and a slash, so that every
-    process finds the shard of a program without asking anyone.
+    process can compute the shard of a program.
     """
     return program.partition(SUB_AGENT_SEPARATOR)[0]
 
@@ -27,8 +27,8 @@
     return f"shard-{shard}"
 
 
-def group_of(key: ProgramKey, shards: int) -> str:
+def group_of(key: ProgramKey, shard_count: int) -> str:
     """Returns the log group that holds the program and all its sub-agents."""
-    place = f"{key.account}\0{root_of(key.program)}".encode()
-    number = int.from_bytes(digest.of_bytes(place)[:8], "big")
-    return shard_group(number % shards)
+    tree = f"{key.account}\0{root_of(key.program)}".encode()
+    number = int.from_bytes(digest.of_bytes(tree)[:8], "big")
+    return shard_group(number % shard_count)
--- a/catkinpin/core/programs/snapshots.py
+++ b/catkinpin/core/programs/snapshots.py
@@ -1,4 +1,4 @@
-"""Form of a shard's state in a snapshot."""
+"""Format of a shard's snapshot."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from catkinpin.core.programs.quarantine import Quarantine
 from catkinpin.exceptions import SnapshotVersionError
 
-VERSION = 1
+SNAPSHOT_VERSION = 1
 
 
 class ShardSnapshot(Message, frozen=True):
-    """A shard's programs and what belongs to them, without texts."""
+    """The state of a shard, without message texts."""
 
     name: str
     programs: list[Program]
     outbox: Outbox
     quarantine: Quarantine
-    version: int = VERSION
+    version: int = SNAPSHOT_VERSION
 
     def check_version(self) -> None:
-        """Checks that this program understands the snapshot.
+        """Checks that this build can read the snapshot.
 
         Raises:
-            SnapshotVersionError: a newer program wrote it.
+            SnapshotVersionError: a newer build wrote the snapshot.
         """
-        if self.version > VERSION:
-            raise SnapshotVersionError(self.version, VERSION)
+        if self.version > SNAPSHOT_VERSION:
+            raise SnapshotVersionError(self.version, SNAPSHOT_VERSION)
--- a/catkinpin/core/programs/texts.py
+++ b/catkinpin/core/programs/texts.py
@@ -1,8 +1,8 @@
-"""Programs' messages held where prompts are assembled, by digest.
+"""Cache of programs' messages at the entry that assembles their prompts.
 
 An entry in the servers' region keeps the messages of prompts that it has
-assembled, so that only new ones have to cross the link between regions. What
-is not held here is sent again; nothing depends on it.
+assembled, so that only new ones have to cross the link between regions.
+Messages that are not cached are sent again.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 class HistoryCache:
-    """The least recently used histories go first.
+    """Caches histories by digest; evicts the least recently used first.
 
     Args:
-        max_bytes: how much is held.
+        max_bytes: maximum total size of the cached messages.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -32,7 +32,7 @@
         return found
 
     def put(self, head: bytes, messages: list[bytes], base: bytes) -> None:
-        """Holds messages, in place of those up to `base` that begin them."""
+        """Caches messages in place of their prefix that ends in `base`."""
         self._drop(base)
         self._drop(head)
         self._held[head] = messages
--- a/catkinpin/core/programs/timers.py
+++ b/catkinpin/core/programs/timers.py
@@ -1,4 +1,4 @@
-"""Things that fall due, for a caller that knows the time."""
+"""Timer queue for a caller that provides the time."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Timers(Generic[_T]):
-    """Items by due time; what has become irrelevant is left to fire."""
+    """Items by due time. They can't be cancelled; callers ignore stale ones."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, _T]] = []
         self._count = itertools.count()
 
     def add(self, due_ms: int, item: _T) -> None:
-        """Adds an item that falls due at a monotonic time."""
+        """Adds an item that is due at a monotonic time."""
         heapq.heappush(self._heap, (due_ms, next(self._count), item))
 
-    def due(self, now_ms: int) -> list[_T]:
-        """Removes and returns what is due, the oldest first."""
+    def pop_due(self, now_ms: int) -> list[_T]:
+        """Removes and returns the items that are due, earliest first."""
         found = []
         while self._heap and self._heap[0][0] <= now_ms:
             found.append(heapq.heappop(self._heap)[2])
