--- a/bench/faults.py
+++ b/bench/faults.py
@@ -33,7 +33,7 @@
             cells += 1
             problems += bool(run.problems())
             unknown += sum(p.answers.count(None) for p in run.programs)
-            at = run.struck_at
+            at = run.fault_at
             if not at:
                 continue
             times += [
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -136,7 +136,7 @@
     def __init__(self, fault: str, step: str, seed: int) -> None:
         self.world = worlds.World(seed)
         self.fault = FAULTS[fault]
-        self.struck_at = 0
+        self.fault_at = 0
         self._start([(self.fault, step, 2 + seed % 2)])
 
     @classmethod
@@ -145,7 +145,7 @@
         run = cls.__new__(cls)
         run.world = worlds.World(seed)
         run.fault = Fault(lambda at: None, _SLOWEST_OF_MANY_MS, unsure=True)
-        run.struck_at = 0
+        run.fault_at = 0
         rng = random.Random(seed)
         names = [name for name in FAULTS if name != "program ended"]
         strikes = []
@@ -177,7 +177,7 @@
                 waits = strike in strikes
                 if waits and name == step and self._hits(key, call):
                     strikes.remove(strike)
-                    self.struck_at = self.world.now
+                    self.fault_at = self.world.now
                     fault.strike(at)
 
         self.world.on_step = on_step
