--- a/catkinpin/core/programs/deadlines.py
+++ b/catkinpin/core/programs/deadlines.py
@@ -183,8 +183,8 @@
 
         For a service call another entry asks the server: the server still has
         the answer, and a call that must not be repeated has no other way to
-        get it. Other attempts are settled as unknown. A model call is then
-        retried on another server.
+        get it. Otherwise the attempt is settled as unknown; a model call is
+        then retried on another server.
         """
         message = self._recover_message(tracked)
         region = message.server.region if message is not None else ""
--- a/catkinpin/core/programs/texts.py
+++ b/catkinpin/core/programs/texts.py
@@ -32,7 +32,13 @@
         return found
 
     def put(self, head: bytes, messages: list[bytes], base: bytes) -> None:
-        """Caches messages in place of their prefix that ends in `base`."""
+        """Caches the messages of a prompt in place of their cached prefix.
+
+        Args:
+            head: digest chain over all messages.
+            messages: the messages.
+            base: digest chain over the prefix that they replace.
+        """
         self._drop(base)
         self._drop(head)
         self._held[head] = messages
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,7 +1,7 @@
-"""The fault matrix of the core: every fault at every step, seeded.
+"""Fault matrix of the core: injects every fault at every step, with seeds.
 
-The checks look at what the fake servers saw and what the fake callers got,
-never at the core's own counters.
+The checks use only what the fake servers received and what the fake callers
+got, never the core's own counters.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 _TARGET = "p0"
 _RUN_MS = 60_000
 _LEAVE_MS = 2_000
-_SLOWEST_OF_MANY_MS = 30_000
+_MAX_CALL_MS_THREE_FAULTS = 30_000
 _MANY_SEEDS = (*range(60), 522, 619, 668, 985, 1033)
 _CRASHES = ("server killed", "server and leader")
 
 
-class Struck:
-    """What a fault can act on: the target call's entry, server, program."""
+class FaultTarget:
+    """What a fault acts on: program, entry and server of the target call."""
 
     def __init__(self, world: World, programs: list[Program]) -> None:
         self.world = world
@@ -57,39 +57,39 @@
         return self.world.servers[seen[-1].server if seen else "m0"]
 
 
-def _delay(at: Struck) -> None:
-    entry = at.entry
+def _delay(target: FaultTarget) -> None:
+    entry = target.entry
     entry.delay = 700
-    at.world.after(1_500, lambda: setattr(entry, "delay", 0))
+    target.world.after(1_500, lambda: setattr(entry, "delay", 0))
 
 
-def _silence(at: Struck) -> None:
-    server = at.server
+def _silence(target: FaultTarget) -> None:
+    server = target.server
     server.silent = True
-    at.world.after(4_000, lambda: setattr(server, "silent", False))
+    target.world.after(4_000, lambda: setattr(server, "silent", False))
 
 
-def _cross(at: Struck) -> None:
-    at.program.send()
-    _delay(at)
+def _cross(target: FaultTarget) -> None:
+    target.program.send()
+    _delay(target)
 
 
-def _leave(at: Struck) -> None:
-    at.server.leaving_since = at.world.now
+def _leave(target: FaultTarget) -> None:
+    target.server.leaving_since = target.world.now
 
 
-def _kill_entry_and_leader(at: Struck) -> None:
-    at.world.depose()
-    at.entry.kill()
+def _kill_entry_and_leader(target: FaultTarget) -> None:
+    target.world.depose()
+    target.entry.kill()
 
 
-def _kill_server_and_leader(at: Struck) -> None:
-    at.server.kill()
-    at.world.depose()
+def _kill_server_and_leader(target: FaultTarget) -> None:
+    target.server.kill()
+    target.world.depose()
 
 
-def _duplicate(at: Struck) -> None:
-    at.entry.ask_again()
+def _duplicate(target: FaultTarget) -> None:
+    target.entry.ask_again()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -97,41 +97,52 @@
     """A fault and what it may cost.
 
     Attributes:
-        slowest_ms: longest that a call may take from its first sending.
-        unsure: whether a service call's outcome may stay unknown.
+        inject: injects the fault.
+        max_call_ms: longest that a call may take from its first sending.
+        allows_unknown: whether the outcome of a service call may stay unknown.
     """
 
-    strike: Callable[[Struck], object]
-    slowest_ms: int
-    unsure: bool = False
+    inject: Callable[[FaultTarget], object]
+    max_call_ms: int
+    allows_unknown: bool = False
 
 
 FAULTS = {
-    "entry killed": Fault(lambda at: at.entry.kill(), 3_600, unsure=True),
-    "entry frozen": Fault(lambda at: at.entry.freeze(1_500), 2_000),
+    "entry killed": Fault(
+        lambda target: target.entry.kill(), 3_600, allows_unknown=True
+    ),
+    "entry frozen": Fault(lambda target: target.entry.freeze(1_500), 2_000),
     "entry frozen long": Fault(
-        lambda at: at.entry.freeze(9_000), 5_600, unsure=True
+        lambda target: target.entry.freeze(9_000), 5_600, allows_unknown=True
     ),
-    "message lost": Fault(lambda at: at.entry.cut(), 700),
-    "entry unheard": Fault(lambda at: at.entry.silence("mute"), 3_000),
-    "leader unheard": Fault(lambda at: at.entry.silence("deaf"), 3_000),
+    "message lost": Fault(lambda target: target.entry.cut(), 700),
+    "entry unheard": Fault(lambda target: target.entry.silence("mute"), 3_000),
+    "leader unheard": Fault(lambda target: target.entry.silence("deaf"), 3_000),
     "message delayed": Fault(_delay, 2_500),
     "message duplicated": Fault(_duplicate, 500),
     "messages crossed": Fault(_cross, 2_500),
-    "server killed": Fault(lambda at: at.server.kill(), 500, unsure=True),
-    "server silent": Fault(_silence, 2_600, unsure=True),
-    "leader changed": Fault(lambda at: at.world.depose(), 1_200),
+    "server killed": Fault(
+        lambda target: target.server.kill(), 500, allows_unknown=True
+    ),
+    "server silent": Fault(_silence, 2_600, allows_unknown=True),
+    "leader changed": Fault(lambda target: target.world.depose(), 1_200),
     "server leaving": Fault(_leave, 500),
-    "configuration changed": Fault(lambda at: at.world.reconfigure(), 500),
-    "resend elsewhere": Fault(lambda at: at.program.send(), 500),
-    "program ended": Fault(lambda at: at.program.stop(), 1_000),
-    "leader and entry": Fault(_kill_entry_and_leader, 4_200, unsure=True),
-    "server and leader": Fault(_kill_server_and_leader, 1_500, unsure=True),
+    "configuration changed": Fault(
+        lambda target: target.world.reconfigure(), 500
+    ),
+    "resend elsewhere": Fault(lambda target: target.program.send(), 500),
+    "program ended": Fault(lambda target: target.program.stop(), 1_000),
+    "leader and entry": Fault(
+        _kill_entry_and_leader, 4_200, allows_unknown=True
+    ),
+    "server and leader": Fault(
+        _kill_server_and_leader, 1_500, allows_unknown=True
+    ),
 }
 
 
 class Run:
-    """One cell of the matrix, or several faults, run to the end."""
+    """Runs one cell of the matrix, or several faults, to the end."""
 
     def __init__(self, fault: str, step: str, seed: int) -> None:
         self.world = worlds.World(seed)
@@ -141,44 +152,46 @@
 
     @classmethod
     def of_many(cls, seed: int) -> Run:
-        """Returns a run in which three faults strike at random steps."""
+        """Returns a run with three faults at random steps."""
         run = cls.__new__(cls)
         run.world = worlds.World(seed)
-        run.fault = Fault(lambda at: None, _SLOWEST_OF_MANY_MS, unsure=True)
+        run.fault = Fault(
+            lambda target: None, _MAX_CALL_MS_THREE_FAULTS, allows_unknown=True
+        )
         run.fault_at = 0
         rng = random.Random(seed)
         names = [name for name in FAULTS if name != "program ended"]
-        strikes = []
+        pending = []
         for number in sorted(rng.choices((1, 2, 3, 4), k=3)):
             name = rng.choice(names)
-            strikes.append((FAULTS[name], rng.choice(STEPS), number))
+            pending.append((FAULTS[name], rng.choice(STEPS), number))
             if name in _CRASHES:
-                # A call aboard two crashes is quarantined, as it should be.
+                # A call that runs during two crashes is rightly quarantined.
                 names = [name for name in names if name not in _CRASHES]
-        run._start(strikes)
+        run._start(pending)
         return run
 
-    def _start(self, strikes: list[tuple[Fault, str, int]]) -> None:
+    def _start(self, pending: list[tuple[Fault, str, int]]) -> None:
         self.world.run(500)
         self.programs = [
             Program(self.world, f"p{i}", "msmm" if i % 2 else "smsm")
             for i in range(3)
         ]
-        # One program sends all its calls at once, the later ones first.
+        # One program sends all its calls at once and out of order.
         self.programs += [
             Program(self.world, "p3", "s", first=number)
             for number in (2, 3, 1, 4)
         ]
-        at = Struck(self.world, self.programs)
+        target = FaultTarget(self.world, self.programs)
 
         def on_step(name: str, key: messages.CallKey | None) -> None:
-            for strike in list(strikes):
-                fault, step, call = strike
-                waits = strike in strikes
-                if waits and name == step and self._hits(key, call):
-                    strikes.remove(strike)
+            for injection in list(pending):
+                fault, step, call = injection
+                is_pending = injection in pending
+                if is_pending and name == step and self._is_target(key, call):
+                    pending.remove(injection)
                     self.fault_at = self.world.now
-                    fault.strike(at)
+                    fault.inject(target)
 
         self.world.on_step = on_step
         end = self.world.now + _RUN_MS
@@ -186,42 +199,42 @@
             self.world.run(250)
         self.world.run(250)
 
-    def _hits(self, key: messages.CallKey | None, call: int) -> bool:
+    def _is_target(self, key: messages.CallKey | None, call: int) -> bool:
         if key is None:
             return self.world.now >= 1_500 + 100 * call
         wanted = ("", f"{_TARGET}-{call}")
         return key.program == _TARGET and key.request_id in wanted
 
     def done(self) -> bool:
-        """Returns whether all programs ended and all memory is free."""
+        """Returns whether all programs ended and all memory is released."""
         held = any(server.held for server in self.world.servers.values())
         return all(program.ended for program in self.programs) and not held
 
     def problems(self) -> list[str]:
-        """Returns every broken promise."""
+        """Returns a text for every guarantee that the run broke."""
         return [
-            *self._lost(),
-            *self._order(),
-            *self._mixed(),
-            *self._twice(),
-            *self._not_run(),
-            *self._late(),
-            *self._budget(),
-            *self._memory(),
-            *self._leaving(),
+            *self._lost_calls(),
+            *self._wrong_order(),
+            *self._mixed_histories(),
+            *self._repeated_services(),
+            *self._false_not_run(),
+            *self._late_replies(),
+            *self._exceeded_budgets(),
+            *self._unreleased_memory(),
+            *self._work_for_leaving(),
         ]
 
-    def _lost(self) -> list[str]:
+    def _lost_calls(self) -> list[str]:
         found = []
         for program in self.programs:
             missing = len(program.answers) < len(program.kinds)
-            unsure = None in program.answers and not self.fault.unsure
-            slow = max(program.times, default=0) > self.fault.slowest_ms
-            if (missing and not program.stopped) or unsure or slow:
+            unknown = None in program.answers and not self.fault.allows_unknown
+            slow = max(program.times, default=0) > self.fault.max_call_ms
+            if (missing and not program.stopped) or unknown or slow:
                 found.append(f"{program.answers} {program.times}")
         return found
 
-    def _order(self) -> list[str]:
+    def _wrong_order(self) -> list[str]:
         found = []
         last: dict[str, int] = collections.defaultdict(int)
         for seen in self.world.seen:
@@ -231,7 +244,7 @@
             last[seen.key.program] = number
         return found
 
-    def _mixed(self) -> list[str]:
+    def _mixed_histories(self) -> list[str]:
         found = []
         for seen in self.world.seen:
             texts = self._texts(seen.key.program)
@@ -256,7 +269,7 @@
                 texts.append(worldfacts.answer_text(digests))
         return texts
 
-    def _twice(self) -> list[str]:
+    def _repeated_services(self) -> list[str]:
         counts = collections.Counter(
             seen.key.request_id
             for seen in self.world.seen
@@ -264,7 +277,7 @@
         )
         return [f"twice: {name}" for name, n in counts.items() if n > 1]
 
-    def _not_run(self) -> list[str]:
+    def _false_not_run(self) -> list[str]:
         found = []
         for sent in self.world.sent:
             final = sent.final
@@ -285,10 +298,10 @@
                     found.append(f"not-run ran: {seen} {final}")
         return found
 
-    def _late(self) -> list[str]:
+    def _late_replies(self) -> list[str]:
         found = []
         for sent in self.world.sent:
-            # A stopped process answers nobody until it is continued.
+            # A stopped process sends no replies until it is continued.
             stopped = self.world.entries[sent.entry].frozen_until
             due = (
                 max(sent.at + worldfacts.DEADLINE_MS, stopped)
@@ -298,7 +311,7 @@
                 found.append(f"late: {sent}")
         return found
 
-    def _budget(self) -> list[str]:
+    def _exceeded_budgets(self) -> list[str]:
         spent: collections.Counter[str] = collections.Counter()
         for seen in self.world.seen:
             if seen.server.startswith("m"):
@@ -309,14 +322,14 @@
             if count > worldfacts.BUDGET
         ]
 
-    def _memory(self) -> list[str]:
+    def _unreleased_memory(self) -> list[str]:
         return [
             f"held: {server.name} {server.held}"
             for server in self.world.servers.values()
             if server.held
         ]
 
-    def _leaving(self) -> list[str]:
+    def _work_for_leaving(self) -> list[str]:
         found = []
         for server in self.world.servers.values():
             since = server.leaving_since
@@ -328,15 +341,15 @@
 
 
 class MatrixTest(base.TestCase):
-    """A fault strikes a program's call at each of its steps.
+    """A fault occurs at each step of a program's call.
 
-    The caller of a program resends what it got no answer to, as the client
-    libraries do. It notices a delay and nothing else; a service call whose
-    outcome nobody can know is reported as such, and is never run again.
+    The caller resends calls without an answer, as the client libraries do. It
+    must see no more than a delay. A service call whose outcome can't be known
+    is reported as such and never runs again.
     """
 
     def test_three_faults_in_one_program(self) -> None:
-        """Faults strike one program again before it has got over the last."""
+        """More faults occur before a program has recovered from the first."""
         problems = []
         for seed in _MANY_SEEDS:
             for problem in Run.of_many(seed).problems():
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that crashes servers, with real processes."""
+"""Quarantine of a request that crashes servers, with real processes."""
 
 from __future__ import annotations
 
@@ -14,18 +14,17 @@
 
 
 class QuarantineTest(base.TestCase):
-    """At most two servers are lost to one request."""
+    """One request crashes at most two servers."""
 
     def test_third_server_survives(self) -> None:
-        """A request ends each engine's process; its caller sends it on.
+        """A request crashes every engine that runs it, and is sent again.
 
-        It comes again under other keys, programs and accounts. The caller
-        reads that it is quarantined; a customer who is served at the same
-        time gets the answer.
+        It comes again as new calls of other programs. Its caller learns that
+        it is quarantined, and concurrent requests get their answers.
         """
-        self.run_async(self._survives())
+        self.run_async(self._third_server_survives())
 
-    async def _survives(self) -> None:
+    async def _third_server_survives(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             names = ["engine-1", "engine-2", "engine-3"]
@@ -33,8 +32,10 @@
                 cluster.add_fake("engine", name)
             for name in names:
                 await cluster.steer(name, crash_on=_POISON)
-            await base.until(self._all_usable(cluster), "three engines work")
-            innocents = [
+            await base.until(
+                self._all_engines_used(cluster), "three engines work"
+            )
+            other_calls = [
                 asyncio.create_task(
                     cluster.chat("entry-1", "berater", [base.user(f"q {i}")])
                 )
@@ -52,15 +53,15 @@
                 )
                 self.assertEqual("quarantined", again.json["error"]["code"])
                 self.assertEqual("not-run", again.verdict)
-            for reply in await asyncio.gather(*innocents):
+            for reply in await asyncio.gather(*other_calls):
                 self.assertEqual(200, reply.status, reply.body)
-            self.assertEqual(1, await self._alive(cluster, names))
+            self.assertEqual(1, await self._count_alive(cluster, names))
 
-    def _all_usable(
+    def _all_engines_used(
         self, cluster: base.Cluster
     ) -> Callable[[], Awaitable[bool]]:
         async def check() -> bool:
-            # At once, so that they do not all fit on the first engine.
+            # Concurrent, so that they do not all fit on the first engine.
             replies = await asyncio.gather(
                 *(
                     cluster.chat(
@@ -73,12 +74,14 @@
                 len((await cluster.look(name))["seen"])
                 for name in ("engine-1", "engine-2", "engine-3")
             ]
-            ok = all(reply.status == 200 for reply in replies)
-            return ok and min(seen) > 0
+            all_answered = all(reply.status == 200 for reply in replies)
+            return all_answered and min(seen) > 0
 
         return check
 
-    async def _alive(self, cluster: base.Cluster, names: list[str]) -> int:
+    async def _count_alive(
+        self, cluster: base.Cluster, names: list[str]
+    ) -> int:
         alive = 0
         for name in names:
             try:
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -1,4 +1,4 @@
-"""Promises of a shard that the fault matrix does not reach."""
+"""Guarantees of a shard that the fault matrix does not cover."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 _LIMITS = records.ProgramLimits(budget_tokens=100, max_turns=3, retain_ms=50)
 
 
-class Bench:
-    """A shard with its log, driven by hand."""
+class ShardHarness:
+    """Applies records to a shard, with increasing log indexes."""
 
     def __init__(self) -> None:
         self.shard = shard.Shard("shard-0")
@@ -99,119 +99,119 @@
 
 
 class BudgetTest(base.TestCase):
-    """A tree of programs never spends beyond its budget."""
+    """A tree of programs never exceeds its token budget."""
 
     def test_unknown_outcomes_keep_their_reserve(self) -> None:
-        """A server dies with a call aboard, and nobody knows what it used.
+        """A server crashes during a call, and the call's usage is unknown.
 
-        The user gets shorter answers, or a refusal, rather than a bill beyond
-        the budget.
+        Its reservation is kept, so later answers get shorter or are refused,
+        and the budget is not exceeded.
         """
-        bench = Bench()
-        bench.begin("1")
-        self.assertEqual(60, bench.program().reserved)
-        bench.finish("1", verdict=Verdict.MAY_HAVE_RUN)
-        bench.apply(
+        harness = ShardHarness()
+        harness.begin("1")
+        self.assertEqual(60, harness.program().reserved)
+        harness.finish("1", verdict=Verdict.MAY_HAVE_RUN)
+        harness.apply(
             records.AttemptStarted(
                 at_ms=1,
                 key=CallKey(account="a", program="p", request_id="1"),
                 choice=_CHOICE,
             )
         )
-        self.assertEqual(30, bench.attempt("1").max_tokens)
-        self.assertEqual(100, bench.program().reserved)
-        late = next(iter(bench.program().unknown))
-        bench.finish("1", attempt=late, used=5)
-        self.assertEqual(5, bench.program().spent)
-        self.assertEqual(40, bench.program().reserved)
+        self.assertEqual(30, harness.attempt("1").max_tokens)
+        self.assertEqual(100, harness.program().reserved)
+        late_attempt = next(iter(harness.program().unknown))
+        harness.finish("1", attempt=late_attempt, used=5)
+        self.assertEqual(5, harness.program().spent)
+        self.assertEqual(40, harness.program().reserved)
 
     def test_engine_that_overcounts_ends_the_budget(self) -> None:
-        """An engine ignores the bound on its output and says so afterwards.
+        """An engine exceeds its output limit and reports that afterwards.
 
-        The program's later calls are refused; the surplus is shown apart.
+        The program's later calls are refused; `overcounted` has the surplus.
         """
-        bench = Bench()
-        bench.begin("1")
-        bench.finish("1", used=130)
-        program = bench.program()
+        harness = ShardHarness()
+        harness.begin("1")
+        harness.finish("1", used=130)
+        program = harness.program()
         self.assertEqual((100, 30), (program.spent, program.overcounted))
-        refused = bench.begin("2", texts=(b"ask", b"answer", b"more"))[0]
+        refused = harness.begin("2", texts=(b"ask", b"answer", b"more"))[0]
         self.assertEqual(Reason.BUDGET_EXHAUSTED, refused.refusal.reason)
         self.assertEqual(Verdict.NOT_RUN, refused.refusal.verdict)
 
     def test_stored_history_counts_where_only_new_messages_are_sent(
         self,
     ) -> None:
-        """A caller sends only its new messages, and the history goes before.
+        """A caller sends only its new messages; the history is put before.
 
-        The engine bills the whole prompt. The reserve must cover what we add,
-        or a long session with a small budget is billed beyond it.
+        The engine bills the whole prompt. If the reservation left out the
+        history, a long session would exceed a small budget.
         """
-        bench = Bench()
-        bench.begin("1")
-        bench.finish("1", texts=(b"ask", b"answer"), used=1)
-        bench.begin("2", texts=(b"more",), whole=False)
+        harness = ShardHarness()
+        harness.begin("1")
+        harness.finish("1", texts=(b"ask", b"answer"), used=1)
+        harness.begin("2", texts=(b"more",), whole=False)
         stored = (
             len(b"ask") + len(b"answer") + 2 * budgets.MESSAGE_OVERHEAD_TOKENS
         )
-        self.assertEqual(99 - 10 - stored, bench.attempt("2").max_tokens)
-        self.assertEqual(99, bench.program().reserved)
-        bench.finish("2", texts=(b"more", b"a" * 40), used=1)
-        refused = bench.begin("3", texts=(b"last",), whole=False)[0]
+        self.assertEqual(99 - 10 - stored, harness.attempt("2").max_tokens)
+        self.assertEqual(99, harness.program().reserved)
+        harness.finish("2", texts=(b"more", b"a" * 40), used=1)
+        refused = harness.begin("3", texts=(b"last",), whole=False)[0]
         self.assertEqual(Reason.BUDGET_EXHAUSTED, refused.refusal.reason)
 
     def test_sub_agents_share_the_root_and_end_with_it(self) -> None:
-        """A sub-agent loops on while its root has ended.
+        """A sub-agent goes on calling after its root has ended.
 
         Its calls are refused, and the engine memory of both is released.
         """
-        bench = Bench()
-        bench.begin("1")
-        bench.begin("1", program="p/sub", parent="p")
-        self.assertEqual(30, bench.attempt("1", "p/sub").max_tokens)
-        self.assertEqual(100, bench.program().reserved)
-        bench.finish("1")
+        harness = ShardHarness()
+        harness.begin("1")
+        harness.begin("1", program="p/sub", parent="p")
+        self.assertEqual(30, harness.attempt("1", "p/sub").max_tokens)
+        self.assertEqual(100, harness.program().reserved)
+        harness.finish("1")
         key = ProgramKey(account="a", program="p")
-        bench.apply(records.ProgramEnded(at_ms=9, key=key, reason="over"))
-        self.assertEqual(["a/p"], self._orders(bench))
-        bench.finish("1", program="p/sub")
-        self.assertEqual(["a/p", "a/p/sub"], self._orders(bench))
-        rejected = bench.begin("2", program="p/other")[0]
+        harness.apply(records.ProgramEnded(at_ms=9, key=key, reason="over"))
+        self.assertEqual(["a/p"], self._orders(harness))
+        harness.finish("1", program="p/sub")
+        self.assertEqual(["a/p", "a/p/sub"], self._orders(harness))
+        rejected = harness.begin("2", program="p/other")[0]
         self.assertEqual(Reason.PROGRAM_ENDED, rejected.reason)
-        self.assertEqual(40, bench.program().spent)
+        self.assertEqual(40, harness.program().spent)
 
-    def _orders(self, bench: Bench) -> list[str]:
-        return [order.program for order in bench.shard.outbox.pending("s")]
+    def _orders(self, harness: ShardHarness) -> list[str]:
+        return [order.program for order in harness.shard.outbox.pending("s")]
 
     def test_loop_without_end_is_stopped(self) -> None:
-        """A program calls on and on.
+        """A program makes calls in an endless loop.
 
-        At its limit of turns it is ended, and the caller reads why.
+        It is ended at its limit of turns, and the caller learns the reason.
         """
-        bench = Bench()
+        harness = ShardHarness()
         texts: tuple[bytes, ...] = ()
         for number in range(3):
             ask = b"ask %d" % number
-            bench.begin(str(number), texts=(*texts, ask), kind="model")
-            bench.finish(str(number), texts=(ask, b"yes"), used=1)
+            harness.begin(str(number), texts=(*texts, ask), kind="model")
+            harness.finish(str(number), texts=(ask, b"yes"), used=1)
             texts = (*texts, ask, b"yes")
-        refused = bench.begin("3", texts=(*texts, b"ask"))[0]
+        refused = harness.begin("3", texts=(*texts, b"ask"))[0]
         self.assertEqual(Reason.LIMIT_REACHED, refused.refusal.reason)
         self.assertIn("3 turns", refused.refusal.text)
-        self.assertTrue(bench.program().ended)
+        self.assertTrue(harness.program().ended)
 
 
 class PlaceTest(base.TestCase):
-    """A place in a program is taken only by what can't be undone."""
+    """Only a call that ran, or may have, uses up its sequence number."""
 
     def test_refused_call_can_be_resent_in_its_place(self) -> None:
-        """No server has room, and the caller sends the same request again.
+        """No server has capacity, and the caller resends the same request.
 
-        It runs in the same place as if nothing had happened.
+        It then runs with the same sequence number.
         """
-        bench = Bench()
-        bench.begin("1", seq=1)
-        bench.finish("1", verdict=Verdict.NOT_RUN, reason=Reason.NO_SERVER)
+        harness = ShardHarness()
+        harness.begin("1", seq=1)
+        harness.finish("1", verdict=Verdict.NOT_RUN, reason=Reason.NO_SERVER)
         key = CallKey(account="a", program="p", request_id="1")
         refusal = records.CallRefused(
             at_ms=1,
@@ -221,38 +221,38 @@
             verdict=Verdict.NOT_RUN,
             retry_after_ms=5,
         )
-        self.assertEqual(refusal, bench.apply(refusal)[0].refusal)
-        bench.begin("1", seq=1)
-        bench.finish("1")
-        self.assertEqual(2, bench.program().next_seq)
+        self.assertEqual(refusal, harness.apply(refusal)[0].refusal)
+        harness.begin("1", seq=1)
+        harness.finish("1")
+        self.assertEqual(2, harness.program().next_seq)
 
     def test_given_up_call_is_never_said_not_to_have_run(self) -> None:
-        """An idempotent call may have run, is given up on, and sent again.
+        """An idempotent call that may have run is abandoned and sent again.
 
-        The resend is refused for another reason; that refusal must not say
+        If the resend is refused for another reason, that refusal must not say
         that the request did not run.
         """
-        bench = Bench()
-        bench.begin("1")
-        bench.now = 2_000
-        down = bench.finish("1", verdict=Verdict.MAY_HAVE_RUN)[0]
-        self.assertEqual(Verdict.MAY_HAVE_RUN, down.refusal.verdict)
+        harness = ShardHarness()
+        harness.begin("1")
+        harness.now = 2_000
+        call_rejected = harness.finish("1", verdict=Verdict.MAY_HAVE_RUN)[0]
+        self.assertEqual(Verdict.MAY_HAVE_RUN, call_rejected.refusal.verdict)
         key = CallKey(account="a", program="p", request_id="1")
-        verdict = bench.shard.verdict_of(key)
+        verdict = harness.shard.verdict_of(key)
         self.assertEqual(Verdict.MAY_HAVE_RUN, verdict)
 
     def test_late_answer_replaces_an_unknown_outcome(self) -> None:
-        """An entry is cut off for long, and reports its outcome at last.
+        """An entry reports its outcome after a long network partition.
 
-        The caller was told that the payment may have run. Its resend now gets
-        the answer; nothing runs again.
+        The caller was told that the service call may have run. Its resend
+        gets the answer now, and nothing runs again.
         """
-        bench = Bench()
+        harness = ShardHarness()
         service: dict[str, Any] = {"kind": "service", "idempotent": False}
-        bench.begin("1", texts=(), **service)
-        attempt = bench.attempt("1").attempt
-        bench.finish("1", verdict=Verdict.MAY_HAVE_RUN)
-        effects = bench.apply(
+        harness.begin("1", texts=(), **service)
+        attempt = harness.attempt("1").attempt
+        harness.finish("1", verdict=Verdict.MAY_HAVE_RUN)
+        effects = harness.apply(
             records.AttemptFinished(
                 at_ms=9,
                 key=CallKey(account="a", program="p", request_id="1"),
@@ -261,37 +261,37 @@
                 answer=messages.Answer(status=200, content_type="", body=b""),
             )
         )
-        self.assertEqual(bench.index, effects[0].call.record_index)
-        self.assertEqual([], bench.begin("1", texts=(), **service))
+        self.assertEqual(harness.index, effects[0].call.record_index)
+        self.assertEqual([], harness.begin("1", texts=(), **service))
 
 
 class HistoryTest(base.TestCase):
-    """Histories are neither lost nor mixed."""
+    """Histories are neither lost nor mixed up."""
 
     def test_messages_of_another_call_are_refused(self) -> None:
-        """An entry mixes up two calls and reports the other's messages.
+        """An entry confuses two calls and reports the other's messages.
 
         The user gets an error instead of another program's history.
         """
-        bench = Bench()
-        bench.begin("1")
-        down = bench.finish("1", texts=(b"other", b"answer"))[0]
-        self.assertEqual(Reason.INTERNAL, down.refusal.reason)
-        self.assertEqual(0, len(bench.program().history))
+        harness = ShardHarness()
+        harness.begin("1")
+        call_rejected = harness.finish("1", texts=(b"other", b"answer"))[0]
+        self.assertEqual(Reason.INTERNAL, call_rejected.refusal.reason)
+        self.assertEqual(0, len(harness.program().history))
 
     def test_snapshot_restores_all_but_texts(self) -> None:
-        """A replica falls behind and gets a snapshot in place of records.
+        """A replica falls behind and gets a snapshot instead of records.
 
-        It goes on exactly where the others stand.
+        Its state is then the same as that of the other replicas.
         """
-        bench = Bench()
-        bench.begin("1")
-        bench.finish("1")
-        bench.begin("2", texts=(b"ask", b"answer", b"more"))
-        bench.begin("1", program="p/sub", parent="p")
-        bench.finish("1", program="p/sub", verdict=Verdict.MAY_HAVE_RUN)
+        harness = ShardHarness()
+        harness.begin("1")
+        harness.finish("1")
+        harness.begin("2", texts=(b"ask", b"answer", b"more"))
+        harness.begin("1", program="p/sub", parent="p")
+        harness.finish("1", program="p/sub", verdict=Verdict.MAY_HAVE_RUN)
         copy = shard.Shard("shard-0")
-        data = bench.shard.snapshot()
+        data = harness.shard.snapshot()
         copy.restore(data)
         self.assertEqual(data, copy.snapshot())
         self.assertNotIn(b"answer", data)
@@ -303,24 +303,24 @@
             copy.restore(codec.encode(newer))
 
     def test_ended_program_is_forgotten_after_its_resends(self) -> None:
-        bench = Bench()
-        bench.begin("1", once=True)
-        bench.finish("1")
-        self.assertTrue(bench.program().ended)
-        self.assertEqual([], bench.begin("1", once=True))
+        harness = ShardHarness()
+        harness.begin("1", once=True)
+        harness.finish("1")
+        self.assertTrue(harness.program().ended)
+        self.assertEqual([], harness.begin("1", once=True))
         key = ProgramKey(account="a", program="p")
-        bench.apply(records.ProgramsForgotten(at_ms=99, keys=[key]))
-        self.assertEqual({}, bench.shard.programs)
+        harness.apply(records.ProgramsForgotten(at_ms=99, keys=[key]))
+        self.assertEqual({}, harness.shard.programs)
 
 
 class IdleTest(base.TestCase):
-    """Programs whose caller went away don't stay."""
+    """Programs whose caller is gone are removed."""
 
     def test_idle_program_is_ended_released_and_forgotten(self) -> None:
-        """A caller dies between two turns and never ends its program.
+        """A caller crashes between two turns and never ends its program.
 
-        After the idle timeout its engine memory is free for others; a resend
-        of its last call still gets the answer, until that is forgotten too.
+        After the idle timeout the engine memory is released. A resend of the
+        last call still gets the answer, until the program is forgotten.
         """
         world = worlds.World(1)
         world.cfg = configuration.parse(
@@ -354,43 +354,45 @@
 
 
 class QuarantineTest(base.TestCase):
-    """At most two servers are lost to one request."""
+    """One request crashes at most two servers."""
 
     def test_request_that_crashes_servers(self) -> None:
-        """A request crashes every server that runs it; its caller insists.
+        """A request crashes every server that runs it, and is sent again.
 
-        It comes again under other ids and programs, while other callers work
-        on the same servers. Those notice a short delay; the request is
-        refused after its second crash.
+        It comes again with other ids and programs, while other callers use
+        the same servers. They see only a short delay; the request is refused
+        after its second crash.
         """
         for seed in range(4):
             for restarts in (True, False):
                 for gap_ms in (0, 40, 700):
-                    self._insist(seed, gap_ms, restarts=restarts)
+                    self._send_repeatedly(seed, gap_ms, restarts=restarts)
 
-    def _insist(self, seed: int, gap_ms: int, *, restarts: bool) -> None:
+    def _send_repeatedly(
+        self, seed: int, gap_ms: int, *, restarts: bool
+    ) -> None:
         world = worlds.World(seed, server_count=5)
         world.run(500)
         for server in world.servers.values():
             server.poison = {digest.of_bytes(b"poison")}
             server.restarts = restarts
-        innocents = [Program(world, f"i{i}", "mmmm") for i in range(6)]
+        other_programs = [Program(world, f"i{i}", "mmmm") for i in range(6)]
         sent = []
         for number in range(8):
-            sent.append(self._poison(world, number))
+            sent.append(self._send_poison(world, number))
             world.run(gap_ms)
         world.run(30_000)
         crashes = sum(server.crashes for server in world.servers.values())
         self.assertLessEqual(crashes, 2, (seed, gap_ms, restarts))
-        for one in sent:
-            self.assertIsInstance(one.final, messages.Refused)
+        for request in sent:
+            self.assertIsInstance(request.final, messages.Refused)
         last = sent[-1].final
         assert isinstance(last, messages.Refused)
         self.assertEqual(Reason.QUARANTINED, last.reason)
-        for program in innocents:
+        for program in other_programs:
             self.assertTrue(program.ended, program.answers)
 
-    def _poison(self, world: worlds.World, number: int) -> worldfacts.Sent:
+    def _send_poison(self, world: worlds.World, number: int) -> worldfacts.Sent:
         key = CallKey(
             account="a", program=f"x{number}", request_id=f"x{number}-1"
         )
