--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -51,7 +51,7 @@
     prices = candidates.CostModel()
     return scheduler.Scheduler(
         view,
-        candidates.by_cost(prices, observe=explanations.Decisions().note),
+        candidates.by_cost(prices, observe=explanations.RecentDecisions().add),
         scheduler.QueueOptions(),
         candidates.home_is_cheapest(prices),
     )
--- a/catkinpin/adapters/gateway/process.py
+++ b/catkinpin/adapters/gateway/process.py
@@ -184,7 +184,7 @@
             eject_unresponsive(
                 self._balancer,
                 servers,
-                fleet.of(service),
+                fleet.servers_of(service),
                 now_ms,
                 now_ms + _AVOID_MS,
             )
@@ -211,7 +211,7 @@
 
     def _server_gone(self, instance: Instance) -> None:
         self._pool.retire(instance.address)
-        if instance.state.is_over:
+        if instance.state.is_offline:
             self._balancer.forget(instance.id)
 
     async def _tick(self) -> None:
--- a/catkinpin/core/operations/snapshot.py
+++ b/catkinpin/core/operations/snapshot.py
@@ -1,4 +1,7 @@
-"""The control group's state as bytes, with a version of the format."""
+"""Encodes the control group's state for snapshots and decodes it.
+
+The first byte of a snapshot is the version of its format.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from catkinpin.core.operations.deployments import Item, ItemKey
 from catkinpin.exceptions import StorageError
 
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
 class _Item(codec.Message, frozen=True):
@@ -25,6 +28,8 @@
 
 
 class _Before(codec.Message, frozen=True):
+    """An item before a plan changed it, and the revision of that change."""
+
     key: ItemKey
     item: Item | None
     wrote: int
@@ -59,14 +64,14 @@
 _decoder = codec.decoder(_State)
 
 
-def save(state: control.Control) -> bytes:
-    """Returns the state as bytes that `load` takes."""
+def encode_state(state: control.ControlState) -> bytes:
+    """Returns the state as bytes that `decode_state` reads."""
     saved = _State(
         revision=state.revision,
         now_ms=state.now_ms,
         oldest_base=state.oldest_base,
-        fence=state.fence,
-        last=state.last,
+        fence=state.last_fencing_token,
+        last=state.last_change,
         items=[
             _Item(
                 key=key,
@@ -78,7 +83,7 @@
         ],
         results=[
             _Result(request_id=request_id, result=result)
-            for request_id, result in state.results.items()
+            for request_id, result in state.change_results.items()
         ],
         processes=list(state.processes.values()),
         servers=list(state.servers.values()),
@@ -86,70 +91,77 @@
             changes.Quarantined(fingerprint=fingerprint, reason=reason)
             for fingerprint, reason in state.quarantine.items()
         ],
-        plans=[_save_run(run) for run in state.plans.values()],
+        plans=[_encode_run(run) for run in state.plans.values()],
     )
-    return bytes([FORMAT]) + codec.encode(saved)
+    return bytes([FORMAT_VERSION]) + codec.encode(saved)
 
 
-def load(data: bytes) -> control.Control:
+def decode_state(data: bytes) -> control.ControlState:
     """Returns the state in a snapshot.
 
     Raises:
-        StorageError: the format is unknown or the content does not fit it.
+        StorageError: the format is unknown, or the content does not match it.
     """
-    if not data or data[0] != FORMAT:
+    if not data or data[0] != FORMAT_VERSION:
         found = data[0] if data else "nothing"
-        text = f"control snapshot: format {FORMAT} is known, got {found}"
+        text = (
+            f"control snapshot: format {FORMAT_VERSION} is supported,"
+            f" got {found}"
+        )
         raise StorageError(text)
     try:
         saved = _decoder.decode(data[1:])
     except msgspec.MsgspecError as exc:
         raise StorageError(f"control snapshot: {exc}") from exc
-    state = control.Control()
+    state = control.ControlState()
     state.revision = saved.revision
     state.now_ms = saved.now_ms
     state.oldest_base = saved.oldest_base
-    state.fence = saved.fence
-    state.last = saved.last
+    state.last_fencing_token = saved.fence
+    state.last_change = saved.last
     state.restore_items(
-        (one.key, control.ItemVersion(one.item, one.revision, one.operator))
-        for one in saved.items
+        (item.key, control.ItemVersion(item.item, item.revision, item.operator))
+        for item in saved.items
     )
-    state.results = {one.request_id: one.result for one in saved.results}
-    state.processes = {one.incarnation: one for one in saved.processes}
-    state.servers = {one.server: one for one in saved.servers}
-    state.quarantine = {one.fingerprint: one.reason for one in saved.quarantine}
-    state.plans = {one.plan.plan_id: _load_run(one) for one in saved.plans}
+    state.change_results = {
+        result.request_id: result.result for result in saved.results
+    }
+    state.processes = {info.incarnation: info for info in saved.processes}
+    state.servers = {facts.server: facts for facts in saved.servers}
+    state.quarantine = {
+        record.fingerprint: record.reason for record in saved.quarantine
+    }
+    state.plans = {run.plan.plan_id: _decode_run(run) for run in saved.plans}
     return state
 
 
-def _save_run(run: control.PlanRun) -> _Run:
+def _encode_run(run: control.PlanRun) -> _Run:
     return _Run(
         plan=run.plan,
         state=run.state,
         step=run.step,
         steps=run.steps,
         before=[
-            _Before(key=key, item=item, wrote=run.wrote[key])
-            for key, item in run.before.items()
+            _Before(key=key, item=item, wrote=run.written_revisions[key])
+            for key, item in run.items_before.items()
         ],
-        fence=run.fence,
-        ordered=run.ordered,
+        fence=run.fencing_token,
+        ordered=run.issued_orders,
         at_ms=run.at_ms,
         operator=run.operator,
     )
 
 
-def _load_run(saved: _Run) -> control.PlanRun:
+def _decode_run(saved: _Run) -> control.PlanRun:
     return control.PlanRun(
         plan=saved.plan,
         state=saved.state,
         step=saved.step,
         steps=saved.steps,
-        before={one.key: one.item for one in saved.before},
-        wrote={one.key: one.wrote for one in saved.before},
-        fence=saved.fence,
-        ordered=saved.ordered,
+        items_before={before.key: before.item for before in saved.before},
+        written_revisions={before.key: before.wrote for before in saved.before},
+        fencing_token=saved.fence,
+        issued_orders=saved.ordered,
         at_ms=saved.at_ms,
         operator=saved.operator,
     )
--- a/catkinpin/core/placement/assignment.py
+++ b/catkinpin/core/placement/assignment.py
@@ -10,7 +10,7 @@
 from catkinpin.core.messages import ProgramKey
 from catkinpin.core.placement import jobs, limits
 from catkinpin.core.programs import sharding
-from catkinpin.core.programs.quarantine import CRASHES_ALLOWED
+from catkinpin.core.programs.quarantine import MAX_CRASHES
 from catkinpin.core.programs.records import Choice, ProgramLimits
 from catkinpin.verdicts import Reason
 
@@ -269,7 +269,7 @@
         )
         if not job.suspect:
             is_limited = job.content_digest not in self._known_good
-            return is_limited and running >= CRASHES_ALLOWED
+            return is_limited and running >= MAX_CRASHES
         is_apart = server not in self._suspect_servers()
         return running > 0 or not is_apart
 
@@ -335,7 +335,7 @@
         account = begin.key.account
         deployment = self._cfg_of().deployment_for(account, begin.target)
         name = deployment.name if deployment is not None else ""
-        content = self._shard.content_of(begin)
+        content = self._shard.content_digest(begin)
         suspect = self._shard.quarantine.is_suspect(content)
         excluded = set(self._outliers.ejected_servers(now_ms))
         excluded.update(call.failed_servers if call is not None else ())
