--- a/catkinpin/core/programs/grants.py
+++ b/catkinpin/core/programs/grants.py
@@ -30,7 +30,7 @@
         waiters: entries that wait for calls.
         tracker: attempts without a committed outcome.
         deadlines: the leader's timers.
-        placing: submits calls to the scheduler.
+        assigner: submits calls to the scheduler.
         admission: limits on running calls.
         entries: connected entries by incarnation.
         cfg: returns the configuration in force.
@@ -41,7 +41,7 @@
         waiters: Waiters,
         tracker: attempts.AttemptTracker,
         deadlines: Deadlines,
-        placing: assignment.CallAssigner,
+        assigner: assignment.CallAssigner,
         admission: Admission,
         entries: Mapping[str, EntryRef],
         cfg: Callable[[], Configuration],
@@ -49,7 +49,7 @@
         self._waiters = waiters
         self._tracker = tracker
         self._deadlines = deadlines
-        self._placing = placing
+        self._assigner = assigner
         self._admission = admission
         self._entries = entries
         self._cfg = cfg
@@ -103,5 +103,5 @@
             return
         self._admission.mark_running(call.key, now_ms)
         self._tracker.add(call.key, call.attempt)
-        self._placing.restore_call(call, call.attempt)
+        self._assigner.restore_call(call, call.attempt)
         self._deadlines.schedule_recall(call.attempt.attempt, now_ms)
--- a/catkinpin/core/programs/leader.py
+++ b/catkinpin/core/programs/leader.py
@@ -74,7 +74,7 @@
         self.retries = limits.RetryBudget()
         self.outliers = OutlierDetector(rng)
         self._rng = rng
-        self._placing = assignment.CallAssigner(
+        self._assigner = assignment.CallAssigner(
             state, scheduler, self.outliers, lambda: self.cfg
         )
         self._gate = crashes.QuarantineGate(state, is_quarantined)
@@ -87,7 +87,7 @@
             self._waiters,
             self._tracker,
             self._deadlines,
-            self._placing,
+            self._assigner,
             self.admission,
             self._entries,
             lambda: self.cfg,
@@ -192,7 +192,7 @@
     ) -> list[Command]:
         """Turns the scheduler's decisions about waiting calls into records."""
         commands: list[Command] = []
-        for outcome in self._placing.resolve(decisions, now_ms):
+        for outcome in self._assigner.resolve(decisions, now_ms):
             match outcome:
                 case assignment.Placed():
                     commands += self._propose_attempt(outcome, now_ms, wall_ms)
@@ -265,7 +265,7 @@
                 return self._outcomes.answer(effect)
             case effects.CallRejected():
                 self.admission.remove_call(effect.key, now_ms, answered=False)
-                decisions = self._placing.end_call(effect.key, now_ms)
+                decisions = self._assigner.end_call(effect.key, now_ms)
                 return [
                     *self._outcomes.refuse(effect.key, effect.refusal),
                     *self.handle_decisions(decisions, now_ms, wall_ms),
@@ -278,7 +278,7 @@
                 return self._outcomes.reject(effect)
             case effects.ProgramTerminated():
                 self._deadlines.schedule_forgetting(effect.program, now_ms)
-                self._placing.end_program(effect.program.key)
+                self._assigner.end_program(effect.program.key)
                 return []
             case effects.ContentQuarantined():
                 return []
@@ -298,8 +298,8 @@
         scopes = assignment.limit_scopes(self.cfg, begin)
         held_back = held_back or not self.admission.may_start(scopes)
         if self._admissions.is_next(begin) and not held_back:
-            outcomes = self._placing.submit_new(begin, now_ms)
-            for outcome in outcomes.own_outcomes:
+            submission = self._assigner.submit_new(begin, now_ms)
+            for outcome in submission.own_outcomes:
                 if isinstance(outcome, assignment.Rejected):
                     rejected = effects.BeginRejected(
                         begin,
@@ -312,7 +312,7 @@
                 if isinstance(outcome, assignment.Placed):
                     choice = self._grants.choose(outcome, waiter.entry, begin)
             commands += self.handle_decisions(
-                outcomes.other_decisions, now_ms, wall_ms
+                submission.other_decisions, now_ms, wall_ms
             )
         # Needs no timer: the call's deadline is also this waiter's.
         self._waiters.add(begin.key, waiter)
@@ -372,7 +372,7 @@
         if not self.admission.may_start(scopes):
             self._deadlines.place_later(key, now_ms, _LIMIT_RETRY_MS)
             return []
-        decisions = self._placing.submit(program, call, now_ms, wall_ms)
+        decisions = self._assigner.submit(program, call, now_ms, wall_ms)
         return self.handle_decisions(decisions, now_ms, wall_ms)
 
     def _retry(
@@ -405,7 +405,7 @@
         begin = self._admissions.find_begin(placed.key)
         if waiter is None or begin is None:
             # No entry can use the grant, so other calls get the server's slot.
-            decisions = self._placing.end_call(placed.key, now_ms)
+            decisions = self._assigner.end_call(placed.key, now_ms)
             return self.handle_decisions(decisions, now_ms, wall_ms)
         record = records.AttemptStarted(
             at_ms=wall_ms,
@@ -418,7 +418,7 @@
         self, record: records.AttemptFinished, now_ms: int, wall_ms: int
     ) -> list[Command]:
         if record.answer is not None:
-            self._placing.record_answer(record.key)
+            self._assigner.record_answer(record.key)
         tracked = self._tracker.remove(record.attempt)
         if tracked is not None:
             self._outcomes.update_outliers(tracked, record, now_ms)
@@ -437,7 +437,7 @@
             return []
         if found is not None:
             self.admission.mark_stopped(key)
-        decisions = self._placing.end_call(key, now_ms, usage)
+        decisions = self._assigner.end_call(key, now_ms, usage)
         return self.handle_decisions(decisions, now_ms, wall_ms)
 
 
