--- a/bench/logbench.py
+++ b/bench/logbench.py
@@ -181,7 +181,7 @@
     for count in (10_000, 100_000, 400_000):
         folder = pathlib.Path(tempfile.mkdtemp(prefix="logbench-"))
         storage = Storage(folder)
-        log = storage.group("g")
+        log = storage.group_log("g")
         log.save_state(1, "n", led=False)
         payload = os.urandom(_PAYLOAD)
         for first in range(1, count + 1, 1000):
@@ -198,7 +198,7 @@
         storage = Storage(folder)
         opened = time.perf_counter()
         members = Members(members=[Member(node="n", address="a")])
-        stored = storage.group("g").stored(members)
+        stored = storage.group_log("g").stored_state(members)
         core = Core("n", stored, random.Random(1), 0)
         ready = time.perf_counter()
         _report(
@@ -317,7 +317,7 @@
     """Keeps so many records waiting for their commit."""
     took: list[float] = []
     numbers = itertools.count()
-    syncs = one.node.storage.syncs
+    syncs = one.node.storage.sync_count
     spent = _usage(one)["cpu_s"]
     until = time.perf_counter() + _LOAD_S
     run = os.urandom(8).hex()
@@ -331,7 +331,7 @@
     return {
         "commits_a_s": len(took) / _LOAD_S,
         "cpu_us": 1e6 * (_usage(one)["cpu_s"] - spent) / len(took),
-        "batch": len(took) / (one.node.storage.syncs - syncs),
+        "batch": len(took) / (one.node.storage.sync_count - syncs),
         **_quantiles(took),
     }
 
--- a/catkinpin/adapters/disk/grouplog.py
+++ b/catkinpin/adapters/disk/grouplog.py
@@ -28,7 +28,7 @@
     def read(self, position: int) -> Entry:
         """Returns the entry at a position."""
 
-    def forget(self, position: int) -> None:
+    def mark_unneeded(self, position: int) -> None:
         """Notes that a record is needed no more."""
 
     def write_snapshot(self, snapshot: Snapshot) -> None:
@@ -52,7 +52,7 @@
         vote: whom this replica voted for in it.
         led: whether this replica led it.
         base: last index that the log no longer holds.
-        snapshot: last index of the newest snapshot, 0 for none.
+        snapshot_index: last index of the newest snapshot, 0 for none.
         members: the members as of `base`.
     """
 
@@ -64,7 +64,7 @@
         self.led = False
         self.base = 0
         self.base_term = 0
-        self.snapshot = 0
+        self.snapshot_index = 0
         self.members = Members()
         self._storage = storage
         self._positions = array.array("Q")
@@ -79,7 +79,7 @@
         """Index of the last entry."""
         return self.base + len(self._positions)
 
-    def stored(self, founders: Members) -> StoredState:
+    def stored_state(self, founders: Members) -> StoredState:
         """Returns what a core starts from.
 
         Args:
@@ -93,7 +93,7 @@
             led=self.led,
             base=self.base,
             base_term=self.base_term,
-            snapshot=self.snapshot,
+            snapshot=self.snapshot_index,
             entries=map(self.read, range(self.base + 1, self.last + 1)),
         )
 
@@ -130,7 +130,7 @@
             raise StorageError(f"{self.name}: record {index} is not kept")
         return self._storage.read(position)
 
-    def holds(self, index: int) -> bool:
+    def has_record(self, index: int) -> bool:
         """Returns whether the record `index` can be read."""
         return self._find(index) is not None
 
@@ -154,7 +154,7 @@
         )
         self._move_base(new, snapshot)
 
-    def keep(self, entry: Entry) -> None:
+    def add_fetched(self, entry: Entry) -> None:
         """Writes a record that a snapshot to be installed refers to."""
         self._fetched[entry.index] = self._add(RecordType.COPY, entry)
 
@@ -178,12 +178,12 @@
 
     def load_snapshot(self) -> Snapshot | None:
         """Returns the newest snapshot, None where there is none."""
-        return self._storage.read_snapshot(self.name, self.snapshot)
+        return self._storage.read_snapshot(self.name, self.snapshot_index)
 
     def read_snapshot_part(self, offset: int, size: int) -> tuple[bytes, int]:
         """Returns a part of the newest snapshot's file, and its whole size."""
         return self._storage.read_snapshot_part(
-            self.name, self.snapshot, offset, size
+            self.name, self.snapshot_index, offset, size
         )
 
     def oldest_position(self) -> int | None:
@@ -208,7 +208,7 @@
         self.save_state(self.term, self.vote, led=self.led)
         self._write_base(
             Base(
-                snapshot=self.snapshot,
+                snapshot=self.snapshot_index,
                 base=self.base,
                 base_term=self.base_term,
                 members=self.members,
@@ -255,7 +255,7 @@
 
     def _cut(self, last: int) -> None:
         for position in self._positions[last - self.base :]:
-            self._storage.forget(position)
+            self._storage.mark_unneeded(position)
         del self._positions[last - self.base :]
 
     def _move_base(self, base: Base, snapshot: Snapshot) -> None:
@@ -280,7 +280,7 @@
         stay = set(kept.values())
         for position in before:
             if position not in stay:
-                self._storage.forget(position)
+                self._storage.mark_unneeded(position)
         self._fetched = {}
         self._set_kept(kept)
         self._set_base(base)
@@ -293,7 +293,7 @@
     def _set_base(self, base: Base) -> None:
         self.base = base.base
         self.base_term = base.base_term
-        self.snapshot = base.snapshot
+        self.snapshot_index = base.snapshot
         self.members = base.members
 
 
--- a/catkinpin/adapters/disk/snapshots.py
+++ b/catkinpin/adapters/disk/snapshots.py
@@ -50,10 +50,10 @@
 
     def referenced(self) -> array.array[int]:
         """Returns the indexes of the records that must be readable."""
-        return unpack(self.description.referenced)
+        return unpack_indexes(self.description.referenced)
 
 
-def pack(indexes: array.array[int]) -> bytes:
+def pack_indexes(indexes: array.array[int]) -> bytes:
     """Returns indexes as little-endian 64-bit numbers."""
     if sys.byteorder != "little":
         indexes = indexes[:]
@@ -61,7 +61,7 @@
     return indexes.tobytes()
 
 
-def unpack(data: bytes) -> array.array[int]:
+def unpack_indexes(data: bytes) -> array.array[int]:
     """Returns indexes that were packed."""
     indexes = array.array("Q")
     indexes.frombytes(data)
--- a/catkinpin/adapters/disk/storage.py
+++ b/catkinpin/adapters/disk/storage.py
@@ -47,7 +47,7 @@
         segment_bytes: size at which a new segment begins.
 
     Attributes:
-        syncs: how often the log was synced.
+        sync_count: how often the log was synced.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
     ) -> None:
         self.folder = folder
         self.ops = ops or files.FileOps()
-        self.syncs = 0
+        self.sync_count = 0
         self._segment_bytes = segment_bytes
         self._segments: dict[int, segments.Segment] = {}
         self._active: segments.Segment
@@ -78,7 +78,7 @@
         self._groups: dict[str, GroupLog] = {}
         self._recover()
 
-    def group(self, name: str) -> GroupLog:
+    def group_log(self, name: str) -> GroupLog:
         """Returns the log of a group, which may be new."""
         if name not in self._groups:
             log = GroupLog(self, name, len(self._groups))
@@ -161,7 +161,7 @@
             return bytes(self._buffer[begin : begin + size])
         return segment.read(offset, size)
 
-    def forget(self, position: int) -> None:
+    def mark_unneeded(self, position: int) -> None:
         """Notes that a record is needed no more."""
         self._needed[logrecords.segment_of(position)] -= 1
 
@@ -196,16 +196,16 @@
         except FileNotFoundError:
             return b"", 0
 
-    def count(self) -> int:
+    def segment_count(self) -> int:
         """Returns how many segments there are."""
         return len(self._segments)
 
-    def collect(self) -> None:
+    def remove_unneeded_segments(self) -> None:
         """Removes old files, once what is needed of them is copied."""
         self.sync()
         for log in self._groups.values():
             snapshots.remove_others(
-                self._snapshot_folder, log.name, log.snapshot
+                self._snapshot_folder, log.name, log.snapshot_index
             )
         for number in sorted(self._segments):
             if number >= self._first_in_use():
@@ -213,7 +213,7 @@
             if self._needed[number] <= _LIVE_SHARE * self._written[number]:
                 self._rewrite(number)
 
-    def pinning(self) -> list[str]:
+    def oldest_segment_users(self) -> list[str]:
         """Returns the groups whose log keeps the oldest segment in use.
 
         A snapshot of each would let it go.
@@ -244,7 +244,7 @@
             self._failed = exc
             raise
         self._dirty = False
-        self.syncs += 1
+        self.sync_count += 1
         metrics.LOG_SYNCS.inc()
 
     def _first_in_use(self) -> int:
--- a/catkinpin/adapters/keeper/host.py
+++ b/catkinpin/adapters/keeper/host.py
@@ -111,7 +111,7 @@
         if waiting is not None and not waiting.fut.done():
             waiting.fut.set_result(out)
 
-    def leadership(self, leading: bool) -> None:
+    def leadership_changed(self, leading: bool) -> None:
         """Starts or ends this keeper's time as the leader."""
         self.leading = leading
         now = self._clock.now_ms()
@@ -138,7 +138,7 @@
 
     def restore(self, data: bytes) -> None:
         """Replaces the state by a snapshot."""
-        self.state.restore(self.group.log.snapshot, data)
+        self.state.restore(self.group.log.snapshot_index, data)
 
     def referenced(self) -> list[int]:
         """Returns no index: nothing in the state points into the log."""
--- a/catkinpin/adapters/keeper/process.py
+++ b/catkinpin/adapters/keeper/process.py
@@ -17,7 +17,7 @@
 from catkinpin.adapters.peers import keepers, links
 from catkinpin.adapters.replica import mesh, node, transport
 from catkinpin.adapters.replica.config import NodeConfig
-from catkinpin.adapters.replica.founding import Joining
+from catkinpin.adapters.replica.founding import AutoJoin
 from catkinpin.adapters.store.turnserver import TurnServer
 from catkinpin.adapters.tasks import Tasks
 from catkinpin.core import messages
@@ -89,7 +89,7 @@
             self._leader_changed,
             exits.stop_at_once,
             on_slow_disk=_note_slow_disk,
-            on_full_disk=_note_full_disk,
+            on_disk_full_changed=_note_full_disk,
         )
         self.bytes = TurnBytes(cfg.data_folder / "turns")
         self.host = self._new_host()
@@ -257,7 +257,7 @@
             return
         if stream.hello.role == mesh.ROLE:
             if isinstance(message, messages.Hello):
-                self.node.hello(message)
+                self.node.handle_hello(message)
             else:
                 self.node.handle(message)
             return
@@ -265,7 +265,7 @@
             self._publisher.send_state(stream)
             return
         if isinstance(message, protocol.GroupSeen):
-            self.node.group_known(stream.hello.process)
+            self.node.record_system_known(stream.hello.process)
             return
         self._tasks.spawn(self._asks.answer(stream, message))
 
@@ -366,8 +366,8 @@
         cfg.data_folder,
         tuple(cfg.seeds),
         cfg.snapshot_entries,
-        Joining(tuple(cfg.seeds), cfg.first_start),
+        AutoJoin(tuple(cfg.seeds), cfg.first_start),
         segment_bytes=_SEGMENT_BYTES,
         timing=_TIMING,
-        begun_ms=clock.process_begun_ms(),
+        process_begun_ms=clock.process_begun_ms(),
     )
--- a/catkinpin/adapters/replica/config.py
+++ b/catkinpin/adapters/replica/config.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     import pathlib
 
-    from catkinpin.adapters.replica.founding import Joining
+    from catkinpin.adapters.replica.founding import AutoJoin
 
 
 @dataclasses.dataclass(frozen=True)
@@ -32,7 +32,7 @@
     data_folder: pathlib.Path
     replicas: tuple[str, ...]
     snapshot_entries: int
-    joining: Joining | None = None
+    joining: AutoJoin | None = None
     segment_bytes: int = SEGMENT_BYTES
     timing: Timing = dataclasses.field(default_factory=Timing)
-    begun_ms: int | None = None
+    process_begun_ms: int | None = None
--- a/catkinpin/adapters/replica/controlhost.py
+++ b/catkinpin/adapters/replica/controlhost.py
@@ -118,7 +118,7 @@
                 commands += self.leader.push_update(before)
             self._run(commands)
 
-    def leadership(self, leading: bool) -> None:
+    def leadership_changed(self, leading: bool) -> None:
         """Takes up or lays down the leader's part."""
         if self.leader is not None:
             for command in self.leader.redirect_waiters():
--- a/catkinpin/adapters/replica/founding.py
+++ b/catkinpin/adapters/replica/founding.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Joining:
+class AutoJoin:
     """How a replica takes part where no operator repairs lost ones.
 
     Attributes:
@@ -70,7 +70,7 @@
         address: str,
         mesh: Mesh,
         begin: Callable[[], None],
-        joining: Joining | None = None,
+        joining: AutoJoin | None = None,
         members: Callable[[], Members] = Members,
     ) -> None:
         self._identity = identity
@@ -164,7 +164,7 @@
             self._founder.step(message, clock.elapsed_ms())
             self._carry_out()
 
-    def founded(self, members: Members) -> None:
+    def handle_founded(self, members: Members) -> None:
         """Takes the founding by another replica."""
         if self._identity.belongs:
             return
@@ -175,7 +175,7 @@
         else:
             self._others_founded = True
 
-    def group_known(self, by: str) -> None:
+    def record_system_known(self, by: str) -> None:
         """Notes that a process knows of a founded system.
 
         Args:
@@ -207,7 +207,7 @@
         waits = self._joining is None and not self._identity.belongs
         return waits and self._others_founded
 
-    def waits_for(self) -> list[str]:
+    def awaited_addresses(self) -> list[str]:
         """Returns the addresses that have not answered."""
         return list(self._founder.wait_status(clock.elapsed_ms()).seeds)
 
--- a/catkinpin/adapters/replica/groups.py
+++ b/catkinpin/adapters/replica/groups.py
@@ -33,7 +33,7 @@
     def apply(self, index: int, payload: bytes) -> None:
         """Applies a committed record; called in the order of the log."""
 
-    def leadership(self, leading: bool) -> None:
+    def leadership_changed(self, leading: bool) -> None:
         """Says that this replica now leads the group, or no longer does.
 
         A new leader has applied every record that was committed before, and
@@ -71,11 +71,11 @@
         """Times of heartbeats and elections."""
 
     @property
-    def begun_ms(self) -> int | None:
+    def process_begun_ms(self) -> int | None:
         """When this process began, None where that is not known."""
 
     @property
-    def is_full(self) -> bool:
+    def is_disk_full(self) -> bool:
         """Whether the disk is full."""
 
     def now_ms(self) -> int:
@@ -140,13 +140,13 @@
 
     def is_leader(self) -> bool:
         """Returns whether this replica may decide for the group now."""
-        if self._core is None or not self._leading or self._node.is_full:
+        if self._core is None or not self._leading or self._node.is_disk_full:
             return False
         return self._core.holds_lease(self._node.now_ms())
 
     def is_current(self) -> bool:
         """Returns whether the state here is that of the present leader."""
-        if self._core is None or self._node.is_full:
+        if self._core is None or self._node.is_disk_full:
             return False
         return self._core.is_current(self._applied, self._node.now_ms())
 
@@ -156,7 +156,7 @@
         Where this replica doesn't lead the record goes: who waits for it
         learns of the new leader and asks that one.
         """
-        if self._core is None or self._node.is_full:
+        if self._core is None or self._node.is_disk_full:
             return
         index = self._core.propose(payload, self._node.now_ms())
         if index:
@@ -180,14 +180,14 @@
         snapshot = self.log.load_snapshot()
         if snapshot is not None:
             self._machine.restore(snapshot.data)
-        self._applied = self.log.snapshot
+        self._applied = self.log.snapshot_index
         self._core = core.Core(
             self._node.identity,
-            self.log.stored(founders),
+            self.log.stored_state(founders),
             self._node.rng,
             self._node.now_ms(),
             self._node.timing,
-            self._node.begun_ms,
+            self._node.process_begun_ms,
         )
         self._node.wake(self)
 
@@ -290,7 +290,7 @@
             self._core.add_learner(join.node, join.address, self._node.now_ms())
             self._node.wake(self)
 
-    def is_settled(self, node: str) -> bool:
+    def is_sole_voter(self, node: str) -> bool:
         """Returns whether `node` votes, alone at its address, up to date.
 
         Only this replica itself can say that of itself.
@@ -306,7 +306,7 @@
 
     def needs_snapshot(self, entries: int) -> bool:
         """Returns whether `entries` were applied since the last snapshot."""
-        return self._applied - self.log.snapshot >= entries
+        return self._applied - self.log.snapshot_index >= entries
 
     def take_snapshot(self, keep: int) -> None:
         """Writes a snapshot and cuts the log, but for the last `keep`.
@@ -316,14 +316,14 @@
         assert self._core is not None
         index = self._core.state.log
         applied = self._applied
-        if applied <= self.log.snapshot and keep:
+        if applied <= self.log.snapshot_index and keep:
             return
         description = snapshots.Description(
             group=self.name,
             index=applied,
             term=index.term_at(applied),
             members=index.members_at(applied),
-            referenced=snapshots.pack(
+            referenced=snapshots.pack_indexes(
                 array.array("Q", sorted(self._machine.referenced()))
             ),
         )
@@ -383,7 +383,7 @@
         if self._elected != self._leading:
             self._leading = self._elected
             metrics.LEADS.labels(self.name).set(self._leading)
-            self._machine.leadership(self._leading)
+            self._machine.leadership_changed(self._leading)
 
     def _send(self, to: str, body: messages.GroupMessage) -> None:
         routed = transport.Routed(
--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -67,7 +67,8 @@
         on_failure: called with what makes it unsafe to go on.
         on_slow_disk: called with each group handed over for a slow disk.
         on_full_disk: called with whether the disk is full, at each change.
-        first: the group whose state the leaders of the others depend on.
+        prerequisite_group: the group whose state the leaders of the other
+            groups depend on.
 
     Attributes:
         identity: who this replica is, new for each new data folder.
@@ -77,11 +78,11 @@
     def __init__(
         self,
         cfg: NodeConfig,
-        on_leader: Callable[[Group], None],
+        on_leader_changed: Callable[[Group], None],
         on_failure: Callable[[Exception], None],
-        first: str = "",
+        prerequisite_group: str = "",
         on_slow_disk: Callable[[Group], None] = lambda _: None,
-        on_full_disk: Callable[[bool], None] = lambda _: None,
+        on_disk_full_changed: Callable[[bool], None] = lambda _: None,
     ) -> None:
         self.storage = Storage(cfg.data_folder, segment_bytes=cfg.segment_bytes)
         self._file = Identity(cfg.data_folder, self.storage.ops)
@@ -91,10 +92,10 @@
         self.groups: dict[str, Group] = {}
         self.heartbeats = heartbeats.Outbox()
         self._cfg = cfg
-        self._on_leader = on_leader
+        self._on_leader = on_leader_changed
         self._on_failure = on_failure
-        self._on_full_disk = on_full_disk
-        self._first = first
+        self._on_full_disk = on_disk_full_changed
+        self._prerequisite_group = prerequisite_group
         self._woken: dict[str, Group] = {}
         # What waits for a sync that a full disk has kept from being made.
         self._unsynced: list[_Unsynced] = []
@@ -114,9 +115,9 @@
         return self._cfg.timing
 
     @property
-    def begun_ms(self) -> int | None:
+    def process_begun_ms(self) -> int | None:
         """When this process began; what it promised before is older."""
-        return self._cfg.begun_ms
+        return self._cfg.process_begun_ms
 
     def now_ms(self) -> int:
         """Returns monotonic time that counts a suspended host's sleep, too.
@@ -127,7 +128,7 @@
         return clock.elapsed_ms()
 
     @property
-    def is_full(self) -> bool:
+    def is_disk_full(self) -> bool:
         """Whether the disk is full.
 
         Nothing can be promised then. To the other replicas this one is as if
@@ -142,13 +143,13 @@
 
     def add_group(self, name: str, machine: StateMachine) -> Group:
         """Adds a group before the start."""
-        group = Group(self, self.storage.group(name), machine)
+        group = Group(self, self.storage.group_log(name), machine)
         self.groups[name] = group
         return group
 
     def may_lead(self, group: Group) -> bool:
         """Returns whether the state that a leader depends on is current."""
-        first = self.groups.get(self._first)
+        first = self.groups.get(self._prerequisite_group)
         return first is None or first is group or first.is_current()
 
     def start(self, hello: messages.Hello) -> None:
@@ -207,7 +208,9 @@
                     "this data folder is empty and the other replicas have"
                     " state; run `catkinpin repair` if its disk was lost"
                 )
-            return f"waiting for {', '.join(self._founding.waits_for())}"
+            return (
+                f"waiting for {', '.join(self._founding.awaited_addresses())}"
+            )
         for group in self.groups.values():
             if not group.leader:
                 return f"no leader of {group.name}"
@@ -217,22 +220,22 @@
         """Returns whether this replica waits for an operator's repair."""
         return self._founding.needs_repair()
 
-    def group_known(self, by: str) -> None:
+    def record_system_known(self, by: str) -> None:
         """Notes that the process `by` knows of a founded system."""
-        self._founding.group_known(by)
+        self._founding.record_system_known(by)
 
     def repair(self) -> None:
         """Lets this replica replace the one that was lost at its address."""
         self._founding.repair()
 
-    def settled(self) -> dict[str, bool]:
+    def votes_by_group(self) -> dict[str, bool]:
         """Returns for each group whether this replica votes, up to date."""
         return {
-            name: group.is_settled(self.identity)
+            name: group.is_sole_voter(self.identity)
             for name, group in self.groups.items()
         }
 
-    def hello(self, hello: messages.Hello) -> None:
+    def handle_hello(self, hello: messages.Hello) -> None:
         """Notes who another replica is."""
         self._mesh.learn(hello.process, hello.address)
 
@@ -255,7 +258,7 @@
             self._on_failure(exc)
 
     def _handle(self, message: Any) -> None:
-        if self.is_full and not isinstance(message, transport.NodeInfo):
+        if self.is_disk_full and not isinstance(message, transport.NodeInfo):
             return
         match message:
             case transport.NodeInfo():
@@ -264,7 +267,7 @@
                     self._mesh.add(address)
                 self._founding.handle_info(message)
             case transport.Found():
-                self._founding.founded(message.members)
+                self._founding.handle_founded(message.members)
             case Prepare() | Promise() | Propose() | Accepted():
                 self._founding.handle(message)
             case transport.Join():
@@ -325,7 +328,7 @@
                 self.fail(exc)
 
     def _tick(self) -> None:
-        if self.is_full:
+        if self.is_disk_full:
             self._flush()
             return
         now_ms = self.now_ms()
@@ -372,7 +375,7 @@
     def _join(self) -> None:
         if self._cfg.joining is not None:
             self._join_alone()
-        elif self._file.joining and not all(self.settled().values()):
+        elif self._file.joining and not all(self.votes_by_group().values()):
             join = transport.Join(node=self.identity, address=self.address)
             self._mesh.broadcast(join)
 
@@ -400,7 +403,7 @@
             self.fail(exc)
 
     def _flush_woken(self) -> None:
-        was_full = self.is_full
+        was_full = self.is_disk_full
         if not was_full:
             self._begin_flush()
         try:
--- a/catkinpin/adapters/replica/process.py
+++ b/catkinpin/adapters/replica/process.py
@@ -52,7 +52,7 @@
             ),
             self._leader_changed,
             exits.stop_at_once,
-            first=sharding.CONTROL_GROUP,
+            prerequisite_group=sharding.CONTROL_GROUP,
         )
         self.shards = {
             name: shardhost.ShardHost(self, name)
@@ -203,7 +203,7 @@
 
     def _on_replica_message(self, message: Any) -> None:
         if isinstance(message, messages.Hello):
-            self.node.hello(message)
+            self.node.handle_hello(message)
         else:
             self.node.handle(message)
 
--- a/catkinpin/adapters/replica/repairs.py
+++ b/catkinpin/adapters/replica/repairs.py
@@ -32,8 +32,8 @@
 
 
 def _state(node: Node) -> dict[str, Any]:
-    settled = node.settled()
-    waiting = [name for name, done in settled.items() if not done]
+    votes_by_group = node.votes_by_group()
+    waiting = [name for name, done in votes_by_group.items() if not done]
     if node.needs_repair():
         state = "needs-repair"
     elif waiting:
@@ -43,7 +43,7 @@
     return {
         "node": node.identity,
         "state": state,
-        "groups": len(settled),
+        "groups": len(votes_by_group),
         "waiting": waiting,
         "detail": node.not_ready(),
     }
--- a/catkinpin/adapters/replica/shardhost.py
+++ b/catkinpin/adapters/replica/shardhost.py
@@ -153,7 +153,7 @@
         wall = self._replica.clock.wall_ms()
         self._run(self.leader.handle_applied(record, effects, now, wall))
 
-    def leadership(self, leading: bool) -> None:
+    def leadership_changed(self, leading: bool) -> None:
         """Takes up or lays down the leader's part."""
         self._leading = leading
         self.scheduler.stop()
--- a/catkinpin/adapters/replica/snapshotting.py
+++ b/catkinpin/adapters/replica/snapshotting.py
@@ -50,8 +50,8 @@
 
     def _write(self, group: Group, groups: Mapping[str, Group]) -> None:
         group.take_snapshot(self._entries // _TAIL_SHARE)
-        if self._storage.count() > _PINNED_SEGMENTS:
-            for name in self._storage.pinning():
+        if self._storage.segment_count() > _PINNED_SEGMENTS:
+            for name in self._storage.oldest_segment_users():
                 if name in groups:
                     groups[name].take_snapshot(0)
-        self._storage.collect()
+        self._storage.remove_unneeded_segments()
--- a/catkinpin/adapters/replica/transfers.py
+++ b/catkinpin/adapters/replica/transfers.py
@@ -106,7 +106,7 @@
         for entry in entries:
             if entry.index in self._asked:
                 self._asked.discard(entry.index)
-                self._log.keep(entry)
+                self._log.add_fetched(entry)
         return bool(entries)
 
     def is_complete(self) -> bool:
@@ -129,7 +129,7 @@
 
     def _holds(self, index: int) -> bool:
         # What is past our commit index may be another leader's record.
-        return index <= self._commit and self._log.holds(index)
+        return index <= self._commit and self._log.has_record(index)
 
 
 def part(
@@ -137,7 +137,7 @@
 ) -> transport.SnapshotPart:
     """Returns the part of the newest snapshot that was asked for."""
     data, size = b"", 0
-    if pull.index == group_log.snapshot:
+    if pull.index == group_log.snapshot_index:
         data, size = group_log.read_snapshot_part(pull.offset, _PART_BYTES)
     return transport.SnapshotPart(
         group=group_log.name,
@@ -157,7 +157,7 @@
     entries: list[Entry] = []
     size = 0
     for index in reversed(pull.indexes):
-        if size > _PART_BYTES or not group_log.holds(index):
+        if size > _PART_BYTES or not group_log.has_record(index):
             break
         entries.append(group_log.read(index))
         size += len(entries[-1].payload)
--- a/tests/fakes/lognode.py
+++ b/tests/fakes/lognode.py
@@ -39,7 +39,7 @@
         if fut is not None and not fut.done():
             fut.set_result(None)
 
-    def leadership(self, leading: bool) -> None:
+    def leadership_changed(self, leading: bool) -> None:
         self.leading = leading
         if leading:
             self.on_leader()
@@ -122,7 +122,7 @@
 
     def _handle(self, stream: links.Stream, message: Any) -> None:
         if isinstance(message, messages.Hello):
-            self.node.hello(message)
+            self.node.handle_hello(message)
         else:
             self.node.handle(message)
 
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -115,7 +115,7 @@
         self.group = messages.Members()
         self.file = identity.Identity(self.folder, files.FileOps())
         self.mesh = _Mesh()
-        joining = founding.Joining(seeds, first_start)
+        joining = founding.AutoJoin(seeds, first_start)
         found = founding.Founding(
             self.file,
             _US,
@@ -140,7 +140,7 @@
         again = self._start(first_start=False)
         self.assertEqual(0, self.begun)
         members = self._members(self.file.node, "other")
-        again.founded(members)
+        again.handle_founded(members)
         self.assertEqual(1, self.begun)
         self.assertEqual(members, self.file.founders)
         self.assertFalse(self.file.joining)
@@ -149,7 +149,7 @@
         """Guards against a replica that waits for its founders for ever."""
         self._start(first_start=True)
         again = self._start(first_start=False)
-        again.founded(self._members("other", "third"))
+        again.handle_founded(self._members("other", "third"))
         self.assertEqual(1, self.begun)
         self.assertTrue(self.file.joining)
 
@@ -159,7 +159,7 @@
         """Guards against a lost disk that is taken for a late founder."""
         ours = self._start(first_start=False)
         self.assertEqual(0, self.begun)
-        ours.founded(self._members("other", "third"))
+        ours.handle_founded(self._members("other", "third"))
         self.assertEqual(1, self.begun)
         self.assertTrue(self.file.joining)
         self.assertIsNone(self.file.founders)
@@ -214,7 +214,7 @@
         """Guards against majorities of two lists of seeds."""
         self._start(first_start=True)
         again = self._start(first_start=False, seeds=(_US, "127.0.0.1:9"))
-        self.assertEqual([_OTHER], again.waits_for())
+        self.assertEqual([_OTHER], again.awaited_addresses())
 
     def test_broken_identity_file_ends_the_process(self) -> None:
         """Guards against a damaged folder that is taken for an empty one."""
@@ -231,7 +231,7 @@
     def test_founded_replica_sends_the_founders_to_a_late_one(self) -> None:
         """Guards against a late founder that nobody answers."""
         ours = self._start(first_start=True)
-        ours.founded(self._members(self.file.node, "late"))
+        ours.handle_founded(self._members(self.file.node, "late"))
         self.mesh.sent.clear()
         for node in ("late", "stranger"):
             ours.handle_info(
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -220,7 +220,7 @@
             fresh.repair()
 
             async def safe() -> bool:
-                return all(fresh.settled().values())
+                return all(fresh.votes_by_group().values())
 
             await base.until(safe, "the repair is safe")
             await self.same(nodes, 700)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -48,7 +48,7 @@
     def written(self, *batches: list[Entry]) -> None:
         """Writes batches, each with a sync of its own."""
         opened = self.open()
-        log = opened.group("g")
+        log = opened.group_log("g")
         for batch in batches:
             log.append(batch)
             opened.sync()
@@ -65,7 +65,7 @@
             index=index,
             term=1,
             members=Members(),
-            referenced=snapshots.pack(array.array("Q", refs)),
+            referenced=snapshots.pack_indexes(array.array("Q", refs)),
         )
         taken = snapshots.Snapshot(description, b"state at %d" % index)
         log.save_snapshot(taken, base_index, 1, Members())
@@ -88,14 +88,14 @@
 
     def test_state_and_entries_are_found_again(self) -> None:
         opened = self.open()
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.save_state(3, "n1", led=True)
         log.append(entries(1, 9))
         log.append(entries(5, 6, term=2))
         opened.sync()
         self.close(opened)
-        log = self.open().group("g")
-        found = log.stored(Members())
+        log = self.open().group_log("g")
+        found = log.stored_state(Members())
         self.assertEqual((3, "n1"), (found.term, found.vote))
         self.assertTrue(found.led)
         wanted = entries(1, 4) + entries(5, 6, term=2)
@@ -114,11 +114,11 @@
         for size in range(len(whole), len(torn)):
             self.segment().write_bytes(torn[:size])
             opened = self.open()
-            log = opened.group("g")
+            log = opened.group_log("g")
             self.assertEqual(5, log.last)
             self.close(opened)
         self.written(entries(6, 6))
-        self.assertEqual(6, self.open().group("g").last)
+        self.assertEqual(6, self.open().group_log("g").last)
 
     def test_torn_batch_with_a_hole(self) -> None:
         """Of an unsynced batch a later page reached the disk, a first not."""
@@ -128,7 +128,7 @@
         torn = self.segment().read_bytes()
         hole = bytes(64) + torn[len(whole) + 64 :]
         self.segment().write_bytes(whole + hole)
-        self.assertEqual(3, self.open().group("g").last)
+        self.assertEqual(3, self.open().group_log("g").last)
 
     def test_damage_before_a_synced_batch_stops_the_replica(self) -> None:
         """A sector of the disk decays under an acknowledged record.
@@ -146,7 +146,7 @@
 
     def test_damage_found_while_reading(self) -> None:
         opened = self.open()
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
         content = bytearray(self.segment().read_bytes())
@@ -158,7 +158,7 @@
     def test_missing_segment_stops_the_replica(self) -> None:
         """Someone removes a file of the log by hand."""
         opened = self.open(size=400)
-        log = opened.group("g")
+        log = opened.group_log("g")
         for index in range(1, 9):
             log.append(entries(index, index))
             opened.sync()
@@ -210,7 +210,7 @@
         """
         full: list[int] = []
         opened = self.open(_filling(full))
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
         full.append(1)
@@ -224,21 +224,21 @@
         self.assertTrue(opened.sync())
         self.assertEqual(entries(7, 7)[0], log.read(7))
         self.close(opened)
-        found = self.open().group("g").stored(Members())
+        found = self.open().group_log("g").stored_state(Members())
         self.assertEqual(entries(1, 7), list(found.entries))
 
     def test_kill_on_a_full_disk_loses_nothing_that_lasted(self) -> None:
         """The process is killed while the disk is full, half a batch on it."""
         full: list[int] = []
         opened = self.open(_filling(full))
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
         full.append(1)
         log.append(entries(4, 6))
         self.assertRaises(DiskFullError, opened.sync)
         self.close(opened)
-        self.assertEqual(3, self.open().group("g").last)
+        self.assertEqual(3, self.open().group_log("g").last)
 
     def test_segment_that_finds_no_room_is_begun_later(self) -> None:
         """The disk is full just as a segment has reached its size."""
@@ -250,22 +250,22 @@
             return os.pwrite(fd, data, offset)
 
         opened = self.open(files.FileOps(pwrite=pwrite), size=300)
-        log = opened.group("g")
+        log = opened.group_log("g")
         full.append(1)
         for index in range(1, 9):
             log.append(entries(index, index))
             self.assertTrue(opened.sync())
-        self.assertEqual(1, opened.count())
+        self.assertEqual(1, opened.segment_count())
         full.clear()
         log.append(entries(9, 9))
         opened.sync()
-        self.assertEqual(2, opened.count())
+        self.assertEqual(2, opened.segment_count())
         self.close(opened)
-        self.assertEqual(9, self.open().group("g").last)
+        self.assertEqual(9, self.open().group_log("g").last)
 
     def check_refuses(self, ops: files.FileOps, broken: list[int]) -> None:
         opened = self.open(ops)
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
         broken.append(1)
@@ -275,7 +275,7 @@
         self.assertRaises(StorageError, opened.sync)
         self.assertRaises(StorageError, log.append, entries(5, 5))
         self.close(opened)
-        self.assertIn(self.open().group("g").last, (3, 4))
+        self.assertIn(self.open().group_log("g").last, (3, 4))
 
 
 class KeptRecordsTest(StorageTestCase):
@@ -283,18 +283,18 @@
 
     def test_referenced_records_outlive_segments_and_restarts(self) -> None:
         opened = self.open(size=2_000)
-        log, other = opened.group("g"), opened.group("other")
+        log, other = opened.group_log("g"), opened.group_log("other")
         refs: list[int] = []
         for first in range(1, 200, 10):
             log.append(entries(first, first + 9))
             opened.sync()
             refs.append(first)
             self.snapshot(log, first + 9, first + 5, refs)
-            opened.collect()
+            opened.remove_unneeded_segments()
             self.assertEqual(first + 5, log.base)
         other.append(entries(1, 1))
         opened.sync()
-        count = opened.count()
+        count = opened.segment_count()
         self.assertLess(count, 12)
         for _ in range(2):
             for index in refs:
@@ -303,44 +303,44 @@
             self.assertEqual(entries(200, 200)[0], log.read(200))
             self.close(opened)
             opened = self.open(size=2_000)
-            log = opened.group("g")
-        self.assertEqual(1, opened.group("other").last)
+            log = opened.group_log("g")
+        self.assertEqual(1, opened.group_log("other").last)
         taken = log.load_snapshot()
         assert taken is not None
         self.assertEqual(b"state at 200", taken.data)
 
     def test_idle_group_is_named_for_what_it_pins(self) -> None:
         opened = self.open(size=2_000)
-        opened.group("idle").append(entries(1, 1))
-        log = opened.group("g")
+        opened.group_log("idle").append(entries(1, 1))
+        log = opened.group_log("g")
         for first in range(1, 100, 10):
             log.append(entries(first, first + 9))
             opened.sync()
         self.snapshot(log, 100, 100, [])
-        opened.collect()
-        self.assertEqual(["idle"], opened.pinning())
-        self.snapshot(opened.group("idle"), 1, 1, [])
-        opened.collect()
-        self.assertEqual(1, opened.count())
+        opened.remove_unneeded_segments()
+        self.assertEqual(["idle"], opened.oldest_segment_users())
+        self.snapshot(opened.group_log("idle"), 1, 1, [])
+        opened.remove_unneeded_segments()
+        self.assertEqual(1, opened.segment_count())
 
     def test_snapshot_of_another_replica(self) -> None:
         opened = self.open()
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
-        log.keep(entries(20, 20)[0])
+        log.add_fetched(entries(20, 20)[0])
         description = snapshots.Description(
             group="g",
             index=50,
             term=4,
             members=Members(),
-            referenced=snapshots.pack(array.array("Q", [20])),
+            referenced=snapshots.pack_indexes(array.array("Q", [20])),
         )
         log.install(snapshots.Snapshot(description, b"s"), keeps_tail=False)
         log.append(entries(51, 52, term=4))
         opened.sync()
         self.close(opened)
-        log = self.open().group("g")
+        log = self.open().group_log("g")
         self.assertEqual((50, 4, 52), (log.base, log.base_term, log.last))
         self.assertEqual(entries(20, 20)[0], log.read(20))
         self.assertRaises(StorageError, log.read, 3)
@@ -379,18 +379,18 @@
         opened = None
         try:
             opened = self.open(ops, size=100)
-            log = opened.group("g")
+            log = opened.group_log("g")
             self.snapshot(log, 10, 10, [2])
-            opened.collect()
+            opened.remove_unneeded_segments()
             self.snapshot(log, 20, 18, [2, 15])
-            opened.collect()
+            opened.remove_unneeded_segments()
         except (OSError, StorageError):
             if opened is None:
                 return False
         assert opened is not None
         self.close(opened)
         again = self.open()
-        log = again.group("g")
+        log = again.group_log("g")
         self.assertEqual(30, log.last)
         self.assertEqual(entries(2, 2)[0], log.read(2))
         self.close(again)
