--- a/catkinpin/adapters/replica/config.py
+++ b/catkinpin/adapters/replica/config.py
@@ -1,4 +1,4 @@
-"""What a replica's part in its groups depends on."""
+"""Settings of a replica's node."""
 
 from __future__ import annotations
 
@@ -16,23 +16,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class NodeConfig:
-    """What a replica's part in its groups depends on.
+    """Settings of a replica's node.
 
     Attributes:
-        data_folder: where its log lies.
-        replicas: peer addresses to begin with, its own included.
+        data_folder: folder of its log and its identity file.
+        replicas: initial peer addresses of all replicas, its own included.
         snapshot_entries: records of a group between two of its snapshots.
-        joining: how it takes part without an operator's repair; None: never.
-        segment_bytes: size of the log's files; two or three lie on the disk.
-        timing: of heartbeats and elections.
-        begun_ms: when this process began, by the node's clock, where one node
-            is all that it ever runs; None: that is not known.
+        auto_join: how it joins without an operator's repair; None if it
+            doesn't.
+        segment_bytes: size of a log segment; the disk holds two or three.
+        timing: intervals and timeouts of heartbeats and elections.
+        process_begun_ms: start of this process, by the node's clock, if the
+            process runs no other node; None if it is not known.
     """
 
     data_folder: pathlib.Path
     replicas: tuple[str, ...]
     snapshot_entries: int
-    joining: AutoJoin | None = None
+    auto_join: AutoJoin | None = None
     segment_bytes: int = SEGMENT_BYTES
     timing: Timing = dataclasses.field(default_factory=Timing)
     process_begun_ms: int | None = None
--- a/catkinpin/adapters/replica/founding.py
+++ b/catkinpin/adapters/replica/founding.py
@@ -1,4 +1,4 @@
-"""How the first members find one another, and how a lost one is replaced."""
+"""Founds a system of replicas, and lets a replica join a founded one."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 log = logging.getLogger(__name__)
 
-# What a founding waits for is noted again after this time.
-_NOTE_EVERY_MS = 10_000
-# Replicas that an operator repairs are listed whole in their settings: all
-# must answer, and an empty disk waits for the operator instead of a time.
-_REPAIRED_TIMING = types.FoundingTiming(empty_disks_wait_ms=0)
+# While the founding waits for the same seeds, it logs them this often.
+_WAIT_LOG_INTERVAL_MS = 10_000
+# If an operator repairs replicas, the settings list all of them: all must
+# answer, and one with an empty disk waits for the operator, not for a timeout.
+_OPERATOR_REPAIR_TIMING = types.FoundingTiming(empty_disks_wait_ms=0)
 
 
 @dataclasses.dataclass(frozen=True)
 class AutoJoin:
-    """How a replica takes part where no operator repairs lost ones.
+    """Settings of a replica that joins without an operator's repair.
 
     Attributes:
         seeds: peer addresses of the replicas that found the system.
@@ -42,25 +42,27 @@
 
 
 class Founding:
-    """Decides when this replica takes part in the groups.
+    """Decides when this replica participates in the groups.
 
-    A system is founded once, by its seeds. A replica whose folder is empty
-    while another's is not has lost its disk; were it to vote under its old
-    name, what it has forgotten could be decided twice. It waits for an
-    operator's repair.
+    The seeds found a system once. If a replica's data folder is empty and
+    another's is not, the replica has lost its disk. If it voted under its old
+    identity, a decision that it has forgotten could be made a second time. So
+    it waits for an operator's repair.
 
-    Where hosts come and go with nobody to repair them, a replica with an empty
-    folder joins by itself instead, under its new identity. A seed waits until
-    it hears of the founded system, since there may be none yet: it may have
-    ended in its first start before it wrote anything. Whether the system
-    starts for the first time is told by its settings, and never guessed.
+    With `auto_join`, for systems whose hosts are replaced without an operator,
+    a replica with an empty folder joins under its new identity instead. A seed
+    first waits until it learns of a founded system. There may be none yet: the
+    seed may have stopped during the system's first start before it wrote
+    anything. Only the settings say whether the system starts for the first
+    time; the replica can't infer it.
 
     Args:
-        identity: who this replica is.
-        address: its peer address, as the others know it.
-        mesh: streams to the others.
-        begin: called once this replica may take part.
-        joining: how it takes part without an operator; None: it doesn't.
+        identity: this replica's identity file.
+        address: the peer address that this replica advertises.
+        mesh: streams to the other replicas.
+        on_participation: called once this replica may participate.
+        auto_join: settings for joining without an operator; None if an
+            operator repairs lost replicas.
         members: returns the newest members that this replica knows.
     """
 
@@ -69,61 +71,65 @@
         identity: Identity,
         address: str,
         mesh: Mesh,
-        begin: Callable[[], None],
-        joining: AutoJoin | None = None,
+        on_participation: Callable[[], None],
+        auto_join: AutoJoin | None = None,
         members: Callable[[], Members] = Members,
     ) -> None:
         self._identity = identity
         self._address = address
         self._mesh = mesh
-        self._begin = begin
-        self._joining = joining
-        self._members = members
-        self._repair_asked = False
+        self._on_participation = on_participation
+        self._auto_join = auto_join
+        self._newest_members = members
+        self._repair_requested = False
         self._others_founded = False
         self._founder = self._new_founder()
-        self._noted: types.WaitStatus | None = None
-        self._noted_ms = 0
-        self._since_ms = clock.elapsed_ms()
+        self._logged_status: types.WaitStatus | None = None
+        self._logged_ms = 0
+        self._waiting_since_ms = clock.elapsed_ms()
 
     def _new_founder(self) -> Founder:
-        """Returns this replica's part in the founding."""
-        joining = self._joining
-        if joining is None:
+        """Returns the founding algorithm's state for this replica."""
+        auto_join = self._auto_join
+        if auto_join is None:
             seeds = (self._address, *self._mesh.addresses)
         else:
-            if joining.first_start and not self._identity.belongs:
-                self._identity.introduce(joining.seeds)
-            seeds = self._identity.seeds or joining.seeds
+            if auto_join.first_start and not self._identity.participates:
+                self._identity.save_first_start(auto_join.seeds)
+            seeds = self._identity.seeds or auto_join.seeds
         return Founder(
             self._identity.node,
             self._address,
             seeds,
-            self._identity.record,
+            self._identity.seed_record,
             clock.elapsed_ms(),
-            _REPAIRED_TIMING if joining is None else None,
+            _OPERATOR_REPAIR_TIMING if auto_join is None else None,
         )
 
     def start(self) -> None:
-        """Takes part at once where that was settled in an earlier run."""
-        if self._identity.belongs:
-            self._begin()
+        """Starts the founding, unless this replica can participate at once.
+
+        It can if an earlier run of it participated already, or if it is no seed
+        and so joins the founded system.
+        """
+        if self._identity.participates:
+            self._on_participation()
         elif self._address not in self._founder.seeds:
             self._join("no seed")
         else:
             self.tick()
 
     def tick(self) -> None:
-        """Introduces this replica, and founds the system, while it waits."""
-        if self._identity.belongs:
+        """Introduces this replica and continues the founding, if it waits."""
+        if self._identity.participates:
             return
-        self._mesh.broadcast(self.info())
+        self._mesh.broadcast(self.node_info())
         self._founder.tick(clock.elapsed_ms())
-        self._carry_out()
-        self._note_waiting()
+        self._run_commands()
+        self._log_wait_status()
 
-    def info(self) -> transport.NodeInfo:
-        """Returns who this replica is."""
+    def node_info(self) -> transport.NodeInfo:
+        """Returns the description of this replica for the others."""
         return transport.NodeInfo(
             node=self._identity.node,
             address=self._address,
@@ -134,101 +140,104 @@
         )
 
     def handle_info(self, info: transport.NodeInfo) -> None:
-        """Takes what another replica says of itself."""
+        """Handles another replica's description of itself."""
         members = self._known_members()
         if members.members:
             if not info.founded:
                 self._mesh.send(info.node, transport.Found(members=members))
             return
-        if self._identity.belongs:
+        if self._identity.participates:
             return
         if info.founded:
             self._others_founded |= info.address in self._founder.seeds
-            if self._repair_asked:
+            if self._repair_requested:
                 self.repair()
             return
         self._founder.handle_introduction(
             types.Introduction(
-                info.node, info.address, info.empty, info.knows_group
+                info.node,
+                info.address,
+                info.empty,
+                info.knows_group,
             ),
             clock.elapsed_ms(),
         )
-        self._carry_out()
+        self._run_commands()
 
     def handle(self, message: FoundingMessage) -> None:
-        """Takes what another seed asks or answers."""
+        """Handles a founding request or reply of another seed."""
         members = self._known_members()
         if members.members:
             self._mesh.send(message.sender, transport.Found(members=members))
-        elif not self._identity.belongs:
+        elif not self._identity.participates:
             self._founder.step(message, clock.elapsed_ms())
-            self._carry_out()
+            self._run_commands()
 
     def handle_founded(self, members: Members) -> None:
-        """Takes the founding by another replica."""
-        if self._identity.belongs:
+        """Handles the first members that another replica has sent."""
+        if self._identity.participates:
             return
         if members.find(self._identity.node) is not None:
-            self._take_part(members)
-        elif self._joining is not None:
+            self._participate_as_founder(members)
+        elif self._auto_join is not None:
             self._join("founded without this replica")
         else:
             self._others_founded = True
 
     def record_system_known(self, by: str) -> None:
-        """Notes that a process knows of a founded system.
+        """Records that a process knows of a founded system.
 
         Args:
-            by: which process.
+            by: name of the process.
         """
-        if not self._identity.belongs and not self._founder.knows_group:
+        if not self._identity.participates and not self._founder.knows_group:
             decisions.note("founding", "", system_known_by=by)
             self._founder.group_known()
 
     def repair(self) -> None:
-        """Lets this replica replace the one that was lost at its address.
+        """Lets this replica replace the lost one at its address.
 
-        An operator's order can come before this replica knows that the
-        others have state. Forgotten, it would leave the replica waiting for
-        an order that was given, and the operator's command in vain for the
-        replica; so it is kept until then. Where the system turns out to be
-        new, all found it together and the order means nothing.
+        The operator may order a repair before this replica knows that the
+        others have state. The order is remembered until then; otherwise the
+        replica and the operator's command would wait for each other. If the
+        system turns out to be new, all replicas found it together and the
+        order has no effect.
         """
-        if self._identity.belongs:
+        if self._identity.participates:
             return
         if not self.needs_repair():
-            log.info("repair ordered, not yet known to be needed")
-            self._repair_asked = True
+            log.info("repair ordered before it is known to be needed")
+            self._repair_requested = True
             return
         self._join("repair ordered")
 
     def needs_repair(self) -> bool:
         """Returns whether the others have state and this replica has none."""
-        waits = self._joining is None and not self._identity.belongs
-        return waits and self._others_founded
+        is_waiting = self._auto_join is None and not self._identity.participates
+        return is_waiting and self._others_founded
 
-    def awaited_addresses(self) -> list[str]:
-        """Returns the addresses that have not answered."""
+    def awaited_seeds(self) -> list[str]:
+        """Returns the addresses of the seeds that the founding waits for."""
         return list(self._founder.wait_status(clock.elapsed_ms()).seeds)
 
     def _known_members(self) -> Members:
-        return self._identity.founders or self._members()
+        return self._identity.founders or self._newest_members()
 
-    def _carry_out(self) -> None:
+    def _run_commands(self) -> None:
         for command in self._founder.take_output():
-            if self._identity.belongs:
+            if self._identity.participates:
                 return
             match command:
                 case types.Save(record):
-                    self._identity.save(record)
+                    self._identity.save_seed_record(record)
                 case types.Send(message):
                     self._mesh.send(message.to, message)
                 case types.Decided(members):
-                    self._take_part(members)
+                    self._participate_as_founder(members)
                     self._mesh.broadcast(transport.Found(members=members))
 
-    def _take_part(self, members: Members) -> None:
-        self._identity.found(members)
+    def _participate_as_founder(self, members: Members) -> None:
+        self._identity.save_founders(members)
         absent = set(self._founder.seeds)
         absent -= {member.address for member in members.members}
         decisions.note(
@@ -237,34 +246,34 @@
             members={m.address: m.node for m in members.members},
             absent=sorted(absent),
         )
-        self._start_part("founded")
+        self._participate("founded")
 
     def _join(self, reason: str) -> None:
-        self._identity.join()
+        self._identity.save_joining()
         decisions.note("joins", "", reason=reason)
-        self._start_part("joins")
+        self._participate("joins")
 
-    def _start_part(self, how: str) -> None:
+    def _participate(self, reason: str) -> None:
         metrics.FOUNDING_WAITS.clear()
-        log.info("takes part in the groups: %s", how)
-        self._begin()
+        log.info("participating in the groups: %s", reason)
+        self._on_participation()
 
-    def _note_waiting(self) -> None:
-        """Says what this replica waits for: at each change, and now and then.
+    def _log_wait_status(self) -> None:
+        """Logs what the founding waits for, on each change and periodically.
 
-        Without this nobody could tell a system that is not founded from one
-        that merely has no leader.
+        Otherwise a system that is not founded would look the same as one that
+        has no leader.
         """
-        if self._identity.belongs:
+        if self._identity.participates:
             return
         now_ms = clock.elapsed_ms()
         wait_status = self._founder.wait_status(now_ms)
         if (
-            wait_status == self._noted
-            and now_ms - self._noted_ms < _NOTE_EVERY_MS
+            wait_status == self._logged_status
+            and now_ms - self._logged_ms < _WAIT_LOG_INTERVAL_MS
         ):
             return
-        self._noted, self._noted_ms = wait_status, now_ms
+        self._logged_status, self._logged_ms = wait_status, now_ms
         metrics.FOUNDING_WAITS.clear()
         for address in wait_status.seeds:
             metrics.FOUNDING_WAITS.labels(address).set(1)
@@ -273,6 +282,6 @@
             "",
             waits_for=wait_status.reason,
             seeds=list(wait_status.seeds),
-            since_ms=now_ms - self._since_ms,
+            since_ms=now_ms - self._waiting_since_ms,
             empty=self._founder.record.empty,
         )
--- a/catkinpin/adapters/replica/groups.py
+++ b/catkinpin/adapters/replica/groups.py
@@ -1,4 +1,4 @@
-"""Runs a log group: proposals in, committed records out."""
+"""Runs a log group: takes proposals and applies committed records."""
 
 from __future__ import annotations
 
@@ -28,38 +28,38 @@
 
 
 class StateMachine(Protocol):
-    """What a log group drives; all of it runs on the loop."""
+    """The state that a log group replicates; called on the event loop."""
 
     def apply(self, index: int, payload: bytes) -> None:
-        """Applies a committed record; called in the order of the log."""
+        """Applies a committed record; called in log order."""
 
     def leadership_changed(self, leading: bool) -> None:
-        """Says that this replica now leads the group, or no longer does.
+        """Reports that this replica now leads the group, or no longer does.
 
-        A new leader has applied every record that was committed before, and
-        the lease of the one before it has run out.
+        A new leader has applied all records that were committed before, and
+        the lease of the previous leader has expired.
         """
 
     def snapshot(self) -> bytes:
         """Returns the state as of the last record applied."""
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by a snapshot, maybe one of another replica."""
+        """Replaces the state by a snapshot of this or another replica."""
 
     def referenced(self) -> Iterable[int]:
-        """Returns the indexes of records that `Group.read` must still serve.
+        """Returns the indexes of records that `Group.read` must still return.
 
-        They outlive the truncation of the log, and travel with a snapshot.
+        They survive a truncation of the log and are transferred with snapshots.
         """
 
 
 class GroupNode(Protocol):
-    """The replica process as one of its groups sees it.
+    """What a group needs of the node that runs it.
 
     Attributes:
-        identity: who this replica is.
+        identity: unique name of this replica.
         rng: draws election timeouts.
-        heartbeats: those that leave at the end of this turn of the loop.
+        heartbeats: heartbeats to send with the next flush.
     """
 
     identity: str
@@ -68,42 +68,42 @@
 
     @property
     def timing(self) -> Timing:
-        """Times of heartbeats and elections."""
+        """Intervals and timeouts of heartbeats and elections."""
 
     @property
     def process_begun_ms(self) -> int | None:
-        """When this process began, None where that is not known."""
+        """Start of this process by `now_ms`, None if it is not known."""
 
     @property
     def is_disk_full(self) -> bool:
         """Whether the disk is full."""
 
     def now_ms(self) -> int:
-        """Returns monotonic time."""
+        """Returns the monotonic time."""
 
     def sync(self) -> None:
-        """Syncs what all groups have written."""
+        """Syncs the writes of all groups."""
 
     def may_lead(self, group: Group) -> bool:
         """Returns whether the state that a leader depends on is current."""
 
     def send(self, node: str, message: Any) -> None:
-        """Sends to a replica; dropped where it can't be reached."""
+        """Sends to a replica; drops the message if there is no stream to it."""
 
-    def wake(self, group: Group) -> None:
-        """Has a group's commands carried out at the end of this turn."""
+    def schedule_flush(self, group: Group) -> None:
+        """Has a group's commands carried out after this loop iteration."""
 
     def fail(self, exc: Exception) -> None:
-        """Gives up after an error that can't be undone."""
+        """Stops the replica after an error that it can't recover from."""
 
 
 class Group:
-    """This replica's part in a log group.
+    """One log group, as this replica runs it.
 
     Args:
-        node: the process's replica, which owns disk, streams and time.
+        node: owns the disk, the streams and the clock of this replica.
         group_log: the group's log.
-        machine: the state machine that the log drives.
+        machine: the state machine that the records are applied to.
     """
 
     def __init__(
@@ -115,68 +115,68 @@
         self._machine = machine
         self._core: core.Core | None = None
         self._applied = 0
-        self._elected = False
+        self._is_elected = False
         self._leading = False
-        self._wrote = False
-        self._fetch: transfers.Fetch | None = None
-        self._restoring: snapshots.Snapshot | None = None
+        self._has_writes = False
+        self._fetch: transfers.SnapshotFetch | None = None
+        self._fetched_snapshot: snapshots.Snapshot | None = None
 
     @property
     def term(self) -> int:
-        """The newest term that this replica knows."""
+        """Highest term that this replica knows."""
         return self._core.term if self._core is not None else 0
 
     @property
     def leader(self) -> str:
-        """Peer address of the leader, empty where it is not known."""
+        """Peer address of the leader, empty if it is not known."""
         return self._core.leader_address if self._core is not None else ""
 
     @property
     def members(self) -> Members:
-        """The newest members that this replica knows."""
+        """Newest members that this replica knows."""
         if self._core is None:
             return Members()
         return self._core.state.log.members
 
     def is_leader(self) -> bool:
-        """Returns whether this replica may decide for the group now."""
+        """Returns whether this replica leads and holds the lease now."""
         if self._core is None or not self._leading or self._node.is_disk_full:
             return False
         return self._core.holds_lease(self._node.now_ms())
 
     def is_current(self) -> bool:
-        """Returns whether the state here is that of the present leader."""
+        """Returns whether this replica's state is as new as the leader's."""
         if self._core is None or self._node.is_disk_full:
             return False
         return self._core.is_current(self._applied, self._node.now_ms())
 
     def propose(self, payload: bytes) -> None:
-        """Appends a record; `apply` gets it once it is committed.
+        """Appends a record; it is passed to `apply` once it is committed.
 
-        Where this replica doesn't lead the record goes: who waits for it
-        learns of the new leader and asks that one.
+        If this replica does not lead, the record is dropped: whoever waits for
+        it learns of the new leader and asks that one.
         """
         if self._core is None or self._node.is_disk_full:
             return
         index = self._core.propose(payload, self._node.now_ms())
         if index:
             metrics.LOG_RECORDS.inc()
-            self._node.wake(self)
+            self._node.schedule_flush(self)
         else:
             log.debug("not proposed", extra={"group": self.name})
 
     def read(self, index: int) -> bytes:
-        """Returns a record."""
+        """Returns the payload of a record; fails the node if it can't."""
         try:
             return self.log.read(index).payload
         except StorageError as exc:
             self._node.fail(exc)
             raise
 
-    # What follows is for the node only.
+    # Only the node calls the methods below.
 
     def start(self, founders: Members) -> None:
-        """Restores the state and takes part in the group."""
+        """Restores the state and starts to participate in the group."""
         snapshot = self.log.load_snapshot()
         if snapshot is not None:
             self._machine.restore(snapshot.data)
@@ -189,22 +189,22 @@
             self._node.timing,
             self._node.process_begun_ms,
         )
-        self._node.wake(self)
+        self._node.schedule_flush(self)
 
     def tick(self, now_ms: int) -> None:
-        """Acts on time that has passed."""
+        """Handles timeouts."""
         if self._core is None:
             return
         self._core.tick(now_ms)
         if self._core.has_output():
-            self._node.wake(self)
-        if self._elected and not self._leading:
+            self._node.schedule_flush(self)
+        if self._is_elected and not self._leading:
             self._update_leadership()
         if self._fetch is not None:
             self._fetch.tick(now_ms)
 
     def handle(self, message: Any) -> None:
-        """Takes a message of another replica."""
+        """Handles a message of another replica."""
         if self._core is None:
             return
         now_ms = self._node.now_ms()
@@ -212,24 +212,28 @@
             case transport.Routed():
                 self._core.step(message.sender, message.body, now_ms)
             case transport.SnapshotPull():
-                reply = transfers.part(self.log, self._node.identity, message)
+                reply = transfers.read_part(
+                    self.log, self._node.identity, message
+                )
                 self._node.send(message.sender, reply)
             case transport.RecordsPull():
-                records = transfers.records(
+                records = transfers.read_records(
                     self.log, self._node.identity, message
                 )
                 self._node.send(message.sender, records)
             case transport.SnapshotPart() if self._fetch is not None:
-                self._fetched(self._fetch, self._fetch.part(message), now_ms)
+                self._continue_fetch(
+                    self._fetch, self._fetch.handle_part(message), now_ms
+                )
             case transport.Records() if self._fetch is not None:
-                held = self._fetch.records(message.entries)
-                self._fetched(self._fetch, held, now_ms)
-        self._node.wake(self)
+                is_available = self._fetch.handle_records(message.entries)
+                self._continue_fetch(self._fetch, is_available, now_ms)
+        self._node.schedule_flush(self)
 
-    def heartbeat(
+    def handle_heartbeat(
         self, sender: str, heartbeat: messages.Heartbeat, now_ms: int
     ) -> bool:
-        """Takes a heartbeat; returns whether a plain answer will do."""
+        """Handles a heartbeat; returns whether a plain reply is due."""
         if self._core is None:
             return False
         if self._core.accept_unchanged_heartbeat(
@@ -237,63 +241,63 @@
         ):
             return True
         self._core.step(sender, heartbeat, now_ms)
-        self._node.wake(self)
+        self._node.schedule_flush(self)
         return False
 
     def handle_heartbeat_reply(
         self, sender: str, reply: messages.HeartbeatReply, now_ms: int
     ) -> None:
-        """Takes the answer to a heartbeat."""
+        """Handles the reply to a heartbeat."""
         if self._core is None:
             return
         self._core.step(sender, reply, now_ms)
         if self._core.has_output():
-            self._node.wake(self)
+            self._node.schedule_flush(self)
 
     def begin_flush(self, now_ms: int) -> list[commands.Command]:
-        """Writes and sends what may go before the sync; returns the rest."""
+        """Runs the commands that may precede the sync; returns the others."""
         assert self._core is not None
         out = self._core.take_output(now_ms)
-        self._wrote = any(isinstance(c, commands.SaveEntries) for c in out)
-        return [c for c in out if not self._before_sync(c)]
+        self._has_writes = any(isinstance(c, commands.SaveEntries) for c in out)
+        return [c for c in out if not self._run_before_sync(c)]
 
-    def synced(self, now_ms: int) -> None:
-        """Notes that all that was written is synced."""
+    def handle_synced(self, now_ms: int) -> None:
+        """Tells the core that all written entries are synced."""
         assert self._core is not None
-        if not self._wrote:
+        if not self._has_writes:
             return
         last = self._core.state.log
         self._core.synced(last.last, last.last_term, now_ms)
         if self._core.has_output():
-            self._node.wake(self)
+            self._node.schedule_flush(self)
 
-    def finish_flush(self, later: list[commands.Command]) -> None:
-        """Carries out what had to wait for the sync."""
-        for command in later:
-            self._after_sync(command)
+    def finish_flush(self, deferred: list[commands.Command]) -> None:
+        """Runs the commands that had to wait for the sync."""
+        for command in deferred:
+            self._run_after_sync(command)
 
     def transfer(self, address: str = "") -> bool:
-        """Hands leadership over; returns whether anyone can take it.
+        """Starts a leadership transfer; returns whether a voter can take it.
 
         Args:
-            address: peer address of who shall take it; empty for any.
+            address: peer address of the new leader; empty for any voter.
         """
         if self._core is None:
             return False
-        begun = self._core.transfer(self._node.now_ms(), address)
-        self._node.wake(self)
-        return begun
+        started = self._core.transfer(self._node.now_ms(), address)
+        self._node.schedule_flush(self)
+        return started
 
     def add_learner(self, join: transport.Join) -> None:
-        """Adds a replica that replaces a lost one, where we lead."""
+        """Adds a replica that replaces a lost one, if this replica leads."""
         if self._core is not None:
             self._core.add_learner(join.node, join.address, self._node.now_ms())
-            self._node.wake(self)
+            self._node.schedule_flush(self)
 
     def is_sole_voter(self, node: str) -> bool:
-        """Returns whether `node` votes, alone at its address, up to date.
+        """Returns whether `node` votes and is the only member at its address.
 
-        Only this replica itself can say that of itself.
+        The members must be committed; only `node` itself knows that for sure.
         """
         if self._core is None:
             return False
@@ -308,48 +312,48 @@
         """Returns whether `entries` were applied since the last snapshot."""
         return self._applied - self.log.snapshot_index >= entries
 
-    def take_snapshot(self, keep: int) -> None:
-        """Writes a snapshot and cuts the log, but for the last `keep`.
+    def take_snapshot(self, kept_entries: int) -> None:
+        """Writes a snapshot; leaves `kept_entries` before it in the log.
 
-        All that was applied must be synced.
+        All applied entries must be synced.
         """
         assert self._core is not None
-        index = self._core.state.log
+        core_log = self._core.state.log
         applied = self._applied
-        if applied <= self.log.snapshot_index and keep:
+        if applied <= self.log.snapshot_index and kept_entries:
             return
         description = snapshots.Description(
             group=self.name,
             index=applied,
-            term=index.term_at(applied),
-            members=index.members_at(applied),
+            term=core_log.term_at(applied),
+            members=core_log.members_at(applied),
             referenced=snapshots.pack_indexes(
                 array.array("Q", sorted(self._machine.referenced()))
             ),
         )
         snapshot = snapshots.Snapshot(description, self._machine.snapshot())
-        base = max(index.base, applied - keep)
+        base = max(core_log.base, applied - kept_entries)
         self.log.save_snapshot(
-            snapshot, base, index.term_at(base), index.members_at(base)
+            snapshot, base, core_log.term_at(base), core_log.members_at(base)
         )
         self._node.sync()
         self._core.compact(applied, base)
 
-    def _before_sync(self, command: commands.Command) -> bool:
+    def _run_before_sync(self, command: commands.Command) -> bool:
         match command:
             case commands.SaveState(term, vote, led):
                 self.log.save_state(term, vote, led=led)
             case commands.SaveEntries(entries):
                 self.log.append(entries)
             case commands.Restore(_, keeps_tail):
-                self._install(keeps_tail)
+                self._install_snapshot(keeps_tail)
                 return False
             case commands.Send(to, messages.Heartbeat() as heartbeat, False):
                 self._node.heartbeats.add(self.name, to, heartbeat)
             case commands.Send(to, message, False):
                 self._send(to, message)
             case commands.SendEntries(to, message, first, last):
-                entries = self._entries(first, last)
+                entries = self._read_entries(first, last)
                 self._send(
                     to, msgspec.structs.replace(message, entries=entries)
                 )
@@ -357,31 +361,31 @@
                 return False
         return True
 
-    def _after_sync(self, command: commands.Command) -> None:
+    def _run_after_sync(self, command: commands.Command) -> None:
         match command:
             case commands.Send(to, message):
                 self._send(to, message)
             case commands.Apply(first, last):
                 self._apply(first, last)
             case commands.ReportLeadership(leading):
-                self._elected = leading
+                self._is_elected = leading
                 self._update_leadership()
             case commands.Fetch(sender, offer):
-                self._begin_fetch(sender, offer)
+                self._start_fetch(sender, offer)
             case commands.Restore():
-                self._restore()
+                self._restore_machine()
 
     def _update_leadership(self) -> None:
-        """Tells the machine whether it leads.
+        """Tells the state machine whether it leads.
 
-        A new leader of a shard may lag in the control group: it would refuse
-        calls under a configuration that was replaced, or under none. So it
-        waits until the state of that group is current here.
+        A new leader of a shard may lag behind in the control group and would
+        refuse calls by an outdated configuration, or for lack of one. So it
+        waits until its state of that group is current.
         """
-        if self._elected and not self._node.may_lead(self):
+        if self._is_elected and not self._node.may_lead(self):
             return
-        if self._elected != self._leading:
-            self._leading = self._elected
+        if self._is_elected != self._leading:
+            self._leading = self._is_elected
             metrics.LEADS.labels(self.name).set(self._leading)
             self._machine.leadership_changed(self._leading)
 
@@ -391,7 +395,7 @@
         )
         self._node.send(to, routed)
 
-    def _entries(self, first: int, last: int) -> list[Entry]:
+    def _read_entries(self, first: int, last: int) -> list[Entry]:
         return [self.log.read(index) for index in range(first, last + 1)]
 
     def _apply(self, first: int, last: int) -> None:
@@ -401,14 +405,14 @@
             if entry.kind is EntryKind.DATA:
                 self._machine.apply(index, entry.payload)
 
-    def _begin_fetch(self, sender: str, offer: messages.SnapshotOffer) -> None:
+    def _start_fetch(self, sender: str, offer: messages.SnapshotOffer) -> None:
         assert self._core is not None
         old = self._fetch
         wanted = (sender, offer.index)
         if old is not None and (old.sender, old.offer.index) == wanted:
             return
         log.info("fetching a snapshot", extra={"group": self.name})
-        self._fetch = transfers.Fetch(
+        self._fetch = transfers.SnapshotFetch(
             self.log,
             self._node.identity,
             sender,
@@ -416,29 +420,31 @@
             self._node.send,
             self._core.state.commit,
         )
-        self._fetch.ask(self._node.now_ms())
+        self._fetch.request_next(self._node.now_ms())
 
-    def _fetched(self, fetch: transfers.Fetch, held: bool, now_ms: int) -> None:
-        """Goes on with a fetch; a new offer follows where it is gone."""
+    def _continue_fetch(
+        self, fetch: transfers.SnapshotFetch, is_available: bool, now_ms: int
+    ) -> None:
+        """Continues a fetch; drops it if the sender has a newer snapshot."""
         assert self._core is not None
-        if not held:
+        if not is_available:
             self._fetch = None
         elif not fetch.is_complete():
-            fetch.ask(now_ms)
+            fetch.request_next(now_ms)
         elif not self._core.install(fetch.sender, fetch.offer):
             self._fetch = None
 
-    def _install(self, keeps_tail: bool) -> None:
+    def _install_snapshot(self, keeps_tail: bool) -> None:
         assert self._fetch is not None
         assert self._fetch.snapshot is not None
-        self._restoring = self._fetch.snapshot
+        self._fetched_snapshot = self._fetch.snapshot
         self._fetch = None
-        self.log.install(self._restoring, keeps_tail)
+        self.log.install(self._fetched_snapshot, keeps_tail)
 
-    def _restore(self) -> None:
-        assert self._restoring is not None
-        snapshot = self._restoring
-        self._restoring = None
+    def _restore_machine(self) -> None:
+        assert self._fetched_snapshot is not None
+        snapshot = self._fetched_snapshot
+        self._fetched_snapshot = None
         self._applied = snapshot.description.index
         self._machine.restore(snapshot.data)
         log.info("snapshot installed", extra={"group": self.name})
--- a/catkinpin/adapters/replica/heartbeats.py
+++ b/catkinpin/adapters/replica/heartbeats.py
@@ -1,6 +1,7 @@
-"""Heartbeats of all groups to one replica in one message.
+"""Sends the heartbeats of all groups to a replica in one message.
 
-A message a group would cost an idle group more than all else together.
+With one message per group, heartbeats would cost an idle group more than
+everything else together.
 """
 
 from __future__ import annotations
@@ -15,41 +16,44 @@
 
 
 class HeartbeatHandler(Protocol):
-    """A group that takes part in heartbeats."""
+    """A group that handles heartbeats and their replies."""
 
-    def heartbeat(self, sender: str, heartbeat: Heartbeat, now_ms: int) -> bool:
-        """Handles a heartbeat; returns whether a plain answer will do."""
+    def handle_heartbeat(
+        self, sender: str, heartbeat: Heartbeat, now_ms: int
+    ) -> bool:
+        """Handles a heartbeat; returns whether a plain reply is due."""
 
     def handle_heartbeat_reply(
         self, sender: str, reply: HeartbeatReply, now_ms: int
     ) -> None:
-        """Handles the answer to a heartbeat."""
+        """Handles the reply to a heartbeat."""
 
 
 class Outbox:
-    """Heartbeats that wait for the end of this turn of the loop."""
+    """Heartbeats to send with the next flush."""
 
     def __init__(self) -> None:
-        self._waiting: dict[tuple[str, int], list[tuple[str, Heartbeat]]] = {}
+        # By receiver and time of sending, with the group of each heartbeat.
+        self._queued: dict[tuple[str, int], list[tuple[str, Heartbeat]]] = {}
 
     def add(self, group: str, to: str, heartbeat: Heartbeat) -> None:
         """Adds a heartbeat of a group to a replica."""
         key = (to, heartbeat.sent_ms)
-        self._waiting.setdefault(key, []).append((group, heartbeat))
+        self._queued.setdefault(key, []).append((group, heartbeat))
 
     def send(self, sender: str, send: Callable[[str, Any], None]) -> None:
-        """Sends one message to each replica."""
-        for (to, sent_ms), listed in self._waiting.items():
+        """Sends the queued heartbeats, one message to each replica."""
+        for (to, sent_ms), queued in self._queued.items():
             message = transport.Heartbeats(
                 sender=sender,
                 to=to,
                 sent_ms=sent_ms,
-                groups=[name for name, _ in listed],
-                terms=[heartbeat.term for _, heartbeat in listed],
-                commits=[heartbeat.commit for _, heartbeat in listed],
+                groups=[name for name, _ in queued],
+                terms=[heartbeat.term for _, heartbeat in queued],
+                commits=[heartbeat.commit for _, heartbeat in queued],
             )
             send(to, message)
-        self._waiting.clear()
+        self._queued.clear()
 
 
 def handle(
@@ -57,7 +61,7 @@
     groups: Mapping[str, HeartbeatHandler],
     now_ms: int,
 ) -> transport.HeartbeatReplies:
-    """Takes heartbeats; returns the answer for those with nothing new."""
+    """Handles heartbeats; returns the reply for those with nothing new."""
     names, terms = [], []
     sent_ms = message.sent_ms
     for name, term, commit in zip(
@@ -67,7 +71,7 @@
         if group is None:
             continue
         heartbeat = Heartbeat(term=term, commit=commit, sent_ms=sent_ms)
-        if group.heartbeat(message.sender, heartbeat, now_ms):
+        if group.handle_heartbeat(message.sender, heartbeat, now_ms):
             names.append(name)
             terms.append(term)
     return transport.HeartbeatReplies(
@@ -84,7 +88,7 @@
     groups: Mapping[str, HeartbeatHandler],
     now_ms: int,
 ) -> None:
-    """Takes answers to heartbeats."""
+    """Handles replies to heartbeats."""
     for name, term in zip(message.groups, message.terms, strict=True):
         group = groups.get(name)
         if group is not None:
--- a/catkinpin/adapters/replica/identity.py
+++ b/catkinpin/adapters/replica/identity.py
@@ -1,4 +1,4 @@
-"""Who this replica is, kept in its data folder."""
+"""The identity of a replica, stored in its data folder."""
 
 from __future__ import annotations
 
@@ -18,16 +18,19 @@
 VERSION = 1
 
 
-class _File(msgspec.Struct, forbid_unknown_fields=True):
+class _IdentityFile(msgspec.Struct, forbid_unknown_fields=True):
     """Content of the identity file.
 
     Attributes:
+        version: version of the file's format.
+        node: the identity.
         founders: the first members of all groups; None before the founding.
-        joining: whether an operator let this replica replace a lost one.
-        introduced: whether the system started for the first time with this
-            disk, and so whether it holds all that its replica ever promised.
+        joining: whether this replica joins a founded system, ordered by an
+            operator or by itself.
+        introduced: whether this disk was already used when the system first
+            started. If so, it holds all promises of its replica.
         seeds: addresses that may found the system, as of that start.
-        promised: newest attempt to found the system that was answered.
+        promised: highest ballot of the founding that was promised.
         accepted: newest proposal of first members that was accepted.
     """
 
@@ -42,75 +45,79 @@
 
 
 class Identity:
-    """The identity file.
+    """Reads and writes the identity file.
 
-    A new folder gets a new identity: its replica has forgotten its votes and
-    what it acknowledged, and must not count as the one that it was.
+    A new folder gets a new identity: its replica has lost its votes and
+    acknowledgements, and must not act as the replica that made them.
     """
 
     def __init__(self, folder: pathlib.Path, ops: files.FileOps) -> None:
         self._path = folder / "identity.json"
         self._ops = ops
         if self._path.exists():
-            self._file = self._read()
+            self._content = self._read()
         else:
-            self._file = _File(version=VERSION, node=uuid.uuid4().hex)
+            self._content = _IdentityFile(
+                version=VERSION, node=uuid.uuid4().hex
+            )
             self._write()
 
     @property
     def node(self) -> str:
         """The identity."""
-        return self._file.node
+        return self._content.node
 
     @property
     def founders(self) -> Members | None:
         """The first members of all groups, None before the founding."""
-        return self._file.founders
+        return self._content.founders
 
     @property
     def joining(self) -> bool:
-        """Whether this replica replaces a lost one."""
-        return self._file.joining
+        """Whether this replica joins a founded system."""
+        return self._content.joining
 
     @property
     def seeds(self) -> tuple[str, ...]:
         """Addresses that may found the system, as of its first start."""
-        return tuple(self._file.seeds)
+        return tuple(self._content.seeds)
 
     @property
-    def record(self) -> SeedRecord:
-        """This replica's part in the founding."""
-        file = self._file
-        return SeedRecord(not file.introduced, file.promised, file.accepted)
+    def seed_record(self) -> SeedRecord:
+        """What this replica has stored as a seed."""
+        stored = self._content
+        return SeedRecord(
+            not stored.introduced, stored.promised, stored.accepted
+        )
 
     @property
-    def belongs(self) -> bool:
-        """Whether this replica takes part in the groups."""
+    def participates(self) -> bool:
+        """Whether this replica participates in the groups."""
         return self.founders is not None or self.joining
 
-    def found(self, founders: Members) -> None:
-        """Notes the first members; lasts once this returns."""
-        self._file.founders = founders
+    def save_founders(self, founders: Members) -> None:
+        """Stores and syncs the first members of all groups."""
+        self._content.founders = founders
         self._write()
 
-    def introduce(self, seeds: tuple[str, ...]) -> None:
-        """Notes that the system starts for the first time."""
-        self._file.introduced = True
-        self._file.seeds = list(seeds)
+    def save_first_start(self, seeds: tuple[str, ...]) -> None:
+        """Stores and syncs that the system starts for the first time."""
+        self._content.introduced = True
+        self._content.seeds = list(seeds)
         self._write()
 
-    def save(self, record: SeedRecord) -> None:
-        """Notes this replica's part in the founding."""
-        self._file.promised = record.promised
-        self._file.accepted = record.accepted
+    def save_seed_record(self, record: SeedRecord) -> None:
+        """Stores and syncs what this replica promised and accepted."""
+        self._content.promised = record.promised
+        self._content.accepted = record.accepted
         self._write()
 
-    def join(self) -> None:
-        """Notes that this replica replaces a lost one."""
-        self._file.joining = True
+    def save_joining(self) -> None:
+        """Stores and syncs that this replica joins a founded system."""
+        self._content.joining = True
         self._write()
 
-    def _read(self) -> _File:
+    def _read(self) -> _IdentityFile:
         try:
             content = self._path.read_bytes()
             version = msgspec.json.decode(content).get("version")
@@ -119,14 +126,14 @@
                     f"{self._path}: format version {version}; this program"
                     f" knows only version {VERSION}"
                 )
-            return msgspec.json.decode(content, type=_File)
+            return msgspec.json.decode(content, type=_IdentityFile)
         except (OSError, msgspec.DecodeError, AttributeError) as exc:
             raise StorageError(f"{self._path}: {exc}") from exc
 
     def _write(self) -> None:
         try:
             files.replace(
-                self._ops, self._path, msgspec.json.encode(self._file)
+                self._ops, self._path, msgspec.json.encode(self._content)
             )
         except OSError as exc:
             raise StorageError(f"{self._path}: {exc}") from exc
--- a/catkinpin/adapters/replica/mesh.py
+++ b/catkinpin/adapters/replica/mesh.py
@@ -1,4 +1,4 @@
-"""Streams between the replicas."""
+"""Streams from this replica to the other replicas."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
     from collections.abc import Callable
 
 ROLE = "replica"
-# Replicas speak on the stream that they opened; only pings come back on it.
-_Back = messages.Ping | transport.NodeInfo
+# Each replica sends on the streams that it opened itself; the other end sends
+# only pings back.
+_ReturnMessage = messages.Ping | transport.NodeInfo
 
 
 class Mesh:
-    """One stream to each other replica, and who answers at its end.
+    """One stream to each other replica, and the identities at their ends.
 
     Args:
         addresses: peer addresses of the other replicas.
-        on_connected: called with the address of each stream that comes up.
-        grows: whether replicas that become known later are connected, too.
+        on_connected: called with the address of each stream that connects.
+        accepts_new: whether to connect to replicas that become known later.
     """
 
     def __init__(
@@ -30,24 +31,24 @@
         addresses: list[str],
         on_connected: Callable[[str], None],
         *,
-        grows: bool = False,
+        accepts_new: bool = False,
     ) -> None:
         self.addresses = addresses
-        self._grows = grows
+        self._accepts_new = accepts_new
         self._hello: messages.Hello | None = None
         self._on_connected = on_connected
         self._links: dict[str, links.PeerLink] = {}
         self._address_of: dict[str, str] = {}
 
     def start(self, hello: messages.Hello) -> None:
-        """Begins to connect."""
+        """Starts to connect."""
         self._hello = hello
         for address in self.addresses:
             self._connect(address, hello)
 
     def add(self, address: str) -> None:
-        """Connects to a replica that became known, if the mesh grows."""
-        if not self._grows or self._hello is None or not address:
+        """Connects to a replica that became known, if the mesh accepts it."""
+        if not self._accepts_new or self._hello is None or not address:
             return
         if address not in self._links and address != self._hello.address:
             self.addresses.append(address)
@@ -58,27 +59,31 @@
         for link in self._links.values():
             await link.stop()
 
-    def learn(self, node: str, address: str) -> None:
-        """Notes at which address a replica answers now."""
+    def set_address(self, node: str, address: str) -> None:
+        """Records a replica's current address, and connects to a new one."""
         self._address_of[node] = address
         self.add(address)
 
     def send(self, node: str, message: Any) -> None:
-        """Sends to a replica; dropped where it can't be reached."""
+        """Sends to a replica; drops the message if there is no stream to it."""
         link = self._links.get(self._address_of.get(node, ""))
         if link is not None:
             link.send(message)
 
     def broadcast(self, message: Any) -> None:
-        """Sends to all other replicas that can be reached."""
+        """Sends to all other replicas."""
         for link in self._links.values():
             link.send(message)
 
     def _connect(self, address: str, hello: messages.Hello) -> None:
         self._links[address] = links.PeerLink(
-            address, hello, _Back, lambda _: None, self._connected
+            address,
+            hello,
+            _ReturnMessage,
+            lambda _: None,
+            self._handle_connected,
         )
         self._links[address].start()
 
-    def _connected(self, link: links.PeerLink) -> None:
+    def _handle_connected(self, link: links.PeerLink) -> None:
         self._on_connected(link.address)
--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -1,4 +1,4 @@
-"""This process as a replica: its groups share disk, streams and time."""
+"""One replica's participation in all log groups of its process."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from catkinpin.adapters.replica.founding import Founding
 from catkinpin.adapters.replica.groups import Group
 from catkinpin.adapters.replica.identity import Identity
-from catkinpin.adapters.replica.slowdisk import SlowDisk
-from catkinpin.adapters.replica.snapshotting import Snapshots
+from catkinpin.adapters.replica.slowdisk import SlowDiskMonitor
+from catkinpin.adapters.replica.snapshotting import SnapshotWriter
 from catkinpin.core.consensus.messages import (
     Accepted,
     Members,
@@ -38,41 +38,41 @@
 
 log = logging.getLogger(__name__)
 
-_TICK_S = 0.05
-_INTRODUCE_TICKS = 4
-_SPREAD_TICKS = 200
-# Groups that one replica may lead more than another; moves cost a moment.
-_MAX_LEAD_DIFFERENCE = 2
-_TRANSFER_S = 1.5
+_TICK_INTERVAL_S = 0.05
+_INTRODUCTION_INTERVAL_TICKS = 4
+_REBALANCE_INTERVAL_TICKS = 200
+# Groups that one replica may lead more than another; a transfer interrupts.
+_MAX_LED_GROUP_IMBALANCE = 2
+_TRANSFER_TIMEOUT_S = 1.5
 _MS_PER_S = 1_000
 
 
 @dataclasses.dataclass(frozen=True)
-class _Unsynced:
-    """A group's commands that may be carried out after the sync."""
+class _PendingFlush:
+    """Commands of a group that must wait until its writes are synced."""
 
     group: Group
-    rest: list[commands.Command]
+    deferred: list[commands.Command]
 
 
 class Node:
-    """This replica's part in all groups.
+    """Runs all log groups of a replica on one disk and one set of streams.
 
-    Everything that the groups write in one turn of the loop is written and
-    synced at once, at the end of that turn.
+    All that the groups write in one iteration of the event loop is written and
+    synced together right after it.
 
     Args:
         cfg: the settings.
-        on_leader: called with each group whose leader has changed.
-        on_failure: called with what makes it unsafe to go on.
-        on_slow_disk: called with each group handed over for a slow disk.
-        on_full_disk: called with whether the disk is full, at each change.
+        on_leader_changed: called with each group whose leader has changed.
+        on_failure: called with an error after which the replica must stop.
+        on_slow_disk: called with each group transferred for a slow disk.
+        on_disk_full_changed: called with whether the disk is full now.
         prerequisite_group: the group whose state the leaders of the other
             groups depend on.
 
     Attributes:
-        identity: who this replica is, new for each new data folder.
-        address: peer address as the other replicas know it.
+        identity: unique name of this replica, new for each new data folder.
+        address: the peer address that this replica advertises.
     """
 
     def __init__(
@@ -85,23 +85,23 @@
         on_disk_full_changed: Callable[[bool], None] = lambda _: None,
     ) -> None:
         self.storage = Storage(cfg.data_folder, segment_bytes=cfg.segment_bytes)
-        self._file = Identity(cfg.data_folder, self.storage.ops)
-        self.identity = self._file.node
+        self._identity_file = Identity(cfg.data_folder, self.storage.ops)
+        self.identity = self._identity_file.node
         self.rng = random.Random()
         self.address = ""
         self.groups: dict[str, Group] = {}
         self.heartbeats = heartbeats.Outbox()
         self._cfg = cfg
-        self._on_leader = on_leader_changed
+        self._on_leader_changed = on_leader_changed
         self._on_failure = on_failure
-        self._on_full_disk = on_disk_full_changed
+        self._on_disk_full_changed = on_disk_full_changed
         self._prerequisite_group = prerequisite_group
-        self._woken: dict[str, Group] = {}
-        # What waits for a sync that a full disk has kept from being made.
-        self._unsynced: list[_Unsynced] = []
-        self._announced: dict[str, tuple[int, str]] = {}
-        self._slow_disk = SlowDisk(on_slow_disk)
-        self._snapshots = Snapshots(self.storage, cfg.snapshot_entries)
+        self._groups_to_flush: dict[str, Group] = {}
+        # Non-empty between two events only if a full disk prevents the sync.
+        self._pending_flushes: list[_PendingFlush] = []
+        self._announced_leaders: dict[str, tuple[int, str]] = {}
+        self._disk_monitor = SlowDiskMonitor(on_slow_disk)
+        self._snapshots = SnapshotWriter(self.storage, cfg.snapshot_entries)
         self._ticks = 0
         self._started = False
         self._stopped = False
@@ -111,19 +111,19 @@
 
     @property
     def timing(self) -> Timing:
-        """Times of heartbeats and elections."""
+        """Intervals and timeouts of heartbeats and elections."""
         return self._cfg.timing
 
     @property
     def process_begun_ms(self) -> int | None:
-        """When this process began; what it promised before is older."""
+        """Start of this process by `now_ms`, None if it is not known."""
         return self._cfg.process_begun_ms
 
     def now_ms(self) -> int:
-        """Returns monotonic time that counts a suspended host's sleep, too.
+        """Returns a monotonic time that includes time suspended.
 
-        A leader whose host was suspended would otherwise believe in a lease
-        that ran out while it slept.
+        Otherwise a leader whose host was suspended would still trust a lease
+        that expired in the meantime.
         """
         return clock.elapsed_ms()
 
@@ -131,47 +131,49 @@
     def is_disk_full(self) -> bool:
         """Whether the disk is full.
 
-        Nothing can be promised then. To the other replicas this one is as if
-        its host stood still: it says nothing, so that they elect a leader
-        whose disk has room, and goes on where it was once there is room here.
+        The replica can then acknowledge nothing. It sends no messages, so that
+        the others elect a leader whose disk has space, and continues from the
+        same state once its own disk has space again.
         """
-        return bool(self._unsynced)
+        return bool(self._pending_flushes)
 
     def sync(self) -> None:
-        """Syncs what all groups have written."""
+        """Syncs the writes of all groups."""
         self.storage.sync()
 
     def add_group(self, name: str, machine: StateMachine) -> Group:
-        """Adds a group before the start."""
+        """Adds a group; must be called before `start`."""
         group = Group(self, self.storage.group_log(name), machine)
         self.groups[name] = group
         return group
 
     def may_lead(self, group: Group) -> bool:
-        """Returns whether the state that a leader depends on is current."""
-        first = self.groups.get(self._prerequisite_group)
-        return first is None or first is group or first.is_current()
+        """Returns whether the prerequisite group's state is current here."""
+        required = self.groups.get(self._prerequisite_group)
+        return required is None or required is group or required.is_current()
 
     def start(self, hello: messages.Hello) -> None:
-        """Connects to the other replicas and takes part in the groups."""
+        """Connects to the other replicas and starts to join the groups."""
         self.storage.sync()
         self.address = hello.address
         listed = self._cfg.replicas
-        fixed = self._cfg.joining is None
-        if fixed and listed and self.address not in listed:
-            # The others would found without this replica.
+        is_fixed = self._cfg.auto_join is None
+        if is_fixed and listed and self.address not in listed:
+            # The others would found the system without this replica.
             raise SettingsError(
                 f"replicas: {', '.join(listed)} does not hold this replica's"
                 f" own address {self.address}; see peer_advertise"
             )
         others = [a for a in listed if a != self.address]
-        self._mesh = mesh.Mesh(others, self._introduce, grows=not fixed)
+        self._mesh = mesh.Mesh(
+            others, self._introduce, accepts_new=not is_fixed
+        )
         self._founding = Founding(
-            self._file,
+            self._identity_file,
             self.address,
             self._mesh,
-            self._begin,
-            self._cfg.joining,
+            self._start_groups,
+            self._cfg.auto_join,
             self._known_members,
         )
         self._mesh.start(hello)
@@ -179,13 +181,13 @@
         self._tick_task = asyncio.create_task(self._run_ticks())
 
     async def stop(self) -> None:
-        """Hands leadership over, then leaves."""
-        handed = [g for g in self.groups.values() if g.transfer()]
-        until = time.monotonic() + _TRANSFER_S
-        while time.monotonic() < until:
-            if all(g.leader not in ("", self.address) for g in handed):
+        """Transfers leadership to other replicas, then disconnects."""
+        transferring = [g for g in self.groups.values() if g.transfer()]
+        deadline_s = time.monotonic() + _TRANSFER_TIMEOUT_S
+        while time.monotonic() < deadline_s:
+            if all(g.leader not in ("", self.address) for g in transferring):
                 break
-            await asyncio.sleep(_TICK_S)
+            await asyncio.sleep(_TICK_INTERVAL_S)
         if self._tick_task is not None:
             self._tick_task.cancel()
         self._stopped = True
@@ -193,54 +195,52 @@
         self.storage.close()
 
     def connect_to(self, address: str) -> None:
-        """Connects to a replica that the settings name by now."""
+        """Connects to a replica that was added to the settings."""
         self._mesh.add(address)
 
     def known_addresses(self) -> list[str]:
-        """Returns the peer addresses of all replicas known."""
+        """Returns the peer addresses of all other known replicas."""
         return list(self._mesh.addresses)
 
     def not_ready(self) -> str:
-        """Returns why this replica takes no part, or an empty string."""
+        """Returns why this replica is not ready, or an empty string."""
         if not self._started:
             if self._founding.needs_repair():
                 return (
                     "this data folder is empty and the other replicas have"
                     " state; run `catkinpin repair` if its disk was lost"
                 )
-            return (
-                f"waiting for {', '.join(self._founding.awaited_addresses())}"
-            )
+            return f"waiting for {', '.join(self._founding.awaited_seeds())}"
         for group in self.groups.values():
             if not group.leader:
                 return f"no leader of {group.name}"
         return ""
 
     def needs_repair(self) -> bool:
-        """Returns whether this replica waits for an operator's repair."""
+        """Returns whether this replica waits for an operator to repair it."""
         return self._founding.needs_repair()
 
     def record_system_known(self, by: str) -> None:
-        """Notes that the process `by` knows of a founded system."""
+        """Records that the process `by` knows of a founded system."""
         self._founding.record_system_known(by)
 
     def repair(self) -> None:
-        """Lets this replica replace the one that was lost at its address."""
+        """Lets this replica replace the lost one at its address."""
         self._founding.repair()
 
     def votes_by_group(self) -> dict[str, bool]:
-        """Returns for each group whether this replica votes, up to date."""
+        """Returns for each group whether `Group.is_sole_voter` holds here."""
         return {
             name: group.is_sole_voter(self.identity)
             for name, group in self.groups.items()
         }
 
     def handle_hello(self, hello: messages.Hello) -> None:
-        """Notes who another replica is."""
-        self._mesh.learn(hello.process, hello.address)
+        """Records the identity and the address of another replica."""
+        self._mesh.set_address(hello.process, hello.address)
 
     def handle(self, message: Any) -> None:
-        """Takes a message of another replica."""
+        """Handles a message of another replica; fails the node on an error."""
         if self._stopped:
             return
         try:
@@ -249,9 +249,10 @@
             self.fail(exc)
 
     def fail(self, exc: Exception) -> None:
-        """Gives up: another replica must go on from what a quorum holds.
+        """Stops this replica after an error that it can't recover from.
 
-        What was half written, or half applied, can't be taken back.
+        A partly written or partly applied change can't be undone; another
+        replica continues from what a quorum has stored.
         """
         if not self._stopped:
             self._stopped = True
@@ -262,7 +263,7 @@
             return
         match message:
             case transport.NodeInfo():
-                self._mesh.learn(message.node, message.address)
+                self._mesh.set_address(message.node, message.address)
                 for address in message.known:
                     self._mesh.add(address)
                 self._founding.handle_info(message)
@@ -271,16 +272,16 @@
             case Prepare() | Promise() | Propose() | Accepted():
                 self._founding.handle(message)
             case transport.Join():
-                self._mesh.learn(message.node, message.address)
+                self._mesh.set_address(message.node, message.address)
                 for group in self.groups.values():
                     group.add_learner(message)
             case transport.Heartbeats() | transport.HeartbeatReplies():
                 if message.to == self.identity:
                     self._handle_heartbeats(message)
             case _:
-                group_of = self.groups.get(message.group)
-                if group_of is not None and message.to == self.identity:
-                    group_of.handle(message)
+                target = self.groups.get(message.group)
+                if target is not None and message.to == self.identity:
+                    target.handle(message)
 
     def _handle_heartbeats(
         self, message: transport.Heartbeats | transport.HeartbeatReplies
@@ -294,34 +295,34 @@
             self.send(message.sender, reply)
 
     def send(self, node: str, message: Any) -> None:
-        """Sends to a replica; dropped where it can't be reached."""
+        """Sends to a replica; drops the message if there is no stream to it."""
         self._mesh.send(node, message)
 
-    def wake(self, group: Group) -> None:
-        """Has a group's commands carried out at the end of this turn."""
+    def schedule_flush(self, group: Group) -> None:
+        """Has a group's commands carried out after this loop iteration."""
         if self._stopped:
             return
-        if not self._woken:
+        if not self._groups_to_flush:
             asyncio.get_running_loop().call_soon(self._flush)
-        self._woken[group.name] = group
+        self._groups_to_flush[group.name] = group
 
-    def _begin(self) -> None:
+    def _start_groups(self) -> None:
         self._started = True
-        founders = self._file.founders or Members()
+        founders = self._identity_file.founders or Members()
         for group in self.groups.values():
             group.start(founders)
 
     def _known_members(self) -> Members:
-        """Returns the newest members of a group that has any."""
+        """Returns the members of the first group that has any."""
         known = [g.members for g in self.groups.values() if g.members.members]
         return known[0] if known else Members()
 
     def _introduce(self, address: str) -> None:
-        self._mesh.broadcast(self._founding.info())
+        self._mesh.broadcast(self._founding.node_info())
 
     async def _run_ticks(self) -> None:
         while not self._stopped:
-            await asyncio.sleep(_TICK_S)
+            await asyncio.sleep(_TICK_INTERVAL_S)
             try:
                 self._tick()
             except Exception as exc:
@@ -334,20 +335,20 @@
         now_ms = self.now_ms()
         for group in self.groups.values():
             group.tick(now_ms)
-        self._slow_disk.tick(self.groups.values(), now_ms)
+        self._disk_monitor.tick(self.groups.values(), now_ms)
         self._ticks += 1
-        if self._ticks % _INTRODUCE_TICKS == 0:
+        if self._ticks % _INTRODUCTION_INTERVAL_TICKS == 0:
             self._founding.tick()
             self._connect_members()
-            self._join()
-        if self._ticks % _SPREAD_TICKS == 0:
-            self._spread()
+            self._request_membership()
+        if self._ticks % _REBALANCE_INTERVAL_TICKS == 0:
+            self._rebalance_leaders()
 
-    def _spread(self) -> None:
-        """Hands one group over where this replica leads far too many.
+    def _rebalance_leaders(self) -> None:
+        """Transfers one group if this replica leads too many.
 
-        After a replica was away the others lead all of its groups, and one
-        processor would carry what three should.
+        After a replica was down, the others lead all of its groups, and one
+        processor may do the work that three should share.
         """
         leaders = [group.leader for group in self.groups.values()]
         if not self._started or "" in leaders:
@@ -358,7 +359,7 @@
         )
         if (
             least_loaded
-            and led[self.address] - led[least_loaded] > _MAX_LEAD_DIFFERENCE
+            and led[self.address] - led[least_loaded] > _MAX_LED_GROUP_IMBALANCE
         ):
             for group in self.groups.values():
                 if group.is_leader() and group.transfer(least_loaded):
@@ -366,31 +367,33 @@
                     return
 
     def _connect_members(self) -> None:
-        """Connects to members that no seed and no replica has named yet."""
+        """Connects to members that are known only from the groups' logs."""
         for group in self.groups.values():
             for member in group.members.members:
                 if member.node != self.identity:
-                    self._mesh.learn(member.node, member.address)
+                    self._mesh.set_address(member.node, member.address)
 
-    def _join(self) -> None:
-        if self._cfg.joining is not None:
-            self._join_alone()
-        elif self._file.joining and not all(self.votes_by_group().values()):
+    def _request_membership(self) -> None:
+        if self._cfg.auto_join is not None:
+            self._request_auto_join()
+        elif self._identity_file.joining and not all(
+            self.votes_by_group().values()
+        ):
             join = transport.Join(node=self.identity, address=self.address)
             self._mesh.broadcast(join)
 
-    def _join_alone(self) -> None:
-        """Asks to become a member, first or again.
+    def _request_auto_join(self) -> None:
+        """Asks to become a member of the groups, also after a removal.
 
-        A replica that was away for long has lost its place to another. It
-        learns of that from nobody: no leader speaks to it any more.
+        A replica that was down for long may have been replaced. Nobody tells
+        it, since no leader sends messages to a removed replica.
         """
-        outside = [
+        groups_not_joined = [
             group
             for group in self.groups.values()
             if not group.leader or group.members.find(self.identity) is None
         ]
-        if self._started and outside:
+        if self._started and groups_not_joined:
             join = transport.Join(node=self.identity, address=self.address)
             self._mesh.broadcast(join)
 
@@ -398,11 +401,11 @@
         if self._stopped:
             return
         try:
-            self._flush_woken()
+            self._flush_groups()
         except Exception as exc:
             self.fail(exc)
 
-    def _flush_woken(self) -> None:
+    def _flush_groups(self) -> None:
         was_full = self.is_disk_full
         if not was_full:
             self._begin_flush()
@@ -411,39 +414,39 @@
         except DiskFullError as exc:
             if not was_full:
                 log.error("the disk is full: %s", exc)
-                self._on_full_disk(True)
+                self._on_disk_full_changed(True)
             return
-        later, self._unsynced = self._unsynced, []
+        flushes, self._pending_flushes = self._pending_flushes, []
         if was_full:
             log.info("the disk has room again")
-            self._on_full_disk(False)
+            self._on_disk_full_changed(False)
         now_ms = self.now_ms()
-        for one in later:
-            one.group.synced(now_ms)
-        for one in later:
-            one.group.finish_flush(one.rest)
-            self._announce_leader(one.group)
-            if one.group.needs_snapshot(self._cfg.snapshot_entries):
-                self._snapshots.take(one.group, self.groups, now_ms)
-        if was_full and self._woken:
+        for flush in flushes:
+            flush.group.handle_synced(now_ms)
+        for flush in flushes:
+            flush.group.finish_flush(flush.deferred)
+            self._announce_leader(flush.group)
+            if flush.group.needs_snapshot(self._cfg.snapshot_entries):
+                self._snapshots.take(flush.group, self.groups, now_ms)
+        if was_full and self._groups_to_flush:
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _begin_flush(self) -> None:
-        """Writes what all woken groups want to have synced."""
-        woken, self._woken = self._woken, {}
+        """Writes the output of all scheduled groups, and sends heartbeats."""
+        groups, self._groups_to_flush = self._groups_to_flush, {}
         now_ms = self.now_ms()
-        for group in woken.values():
-            rest = group.begin_flush(now_ms)
-            self._unsynced.append(_Unsynced(group, rest))
+        for group in groups.values():
+            deferred = group.begin_flush(now_ms)
+            self._pending_flushes.append(_PendingFlush(group, deferred))
         self.heartbeats.send(self.identity, self.send)
 
     def _sync(self) -> None:
-        began_s = time.monotonic()
+        start_s = time.monotonic()
         if self.storage.sync():
-            self._slow_disk.synced((time.monotonic() - began_s) * _MS_PER_S)
+            self._disk_monitor.record((time.monotonic() - start_s) * _MS_PER_S)
 
     def _announce_leader(self, group: Group) -> None:
         known = (group.term, group.leader)
-        if group.leader and self._announced.get(group.name) != known:
-            self._announced[group.name] = known
-            self._on_leader(group)
+        if group.leader and self._announced_leaders.get(group.name) != known:
+            self._announced_leaders[group.name] = known
+            self._on_leader_changed(group)
--- a/catkinpin/adapters/replica/process.py
+++ b/catkinpin/adapters/replica/process.py
@@ -33,7 +33,7 @@
 
 # A replica's stream on which it confirms its configuration as entries do.
 _LEASE_ROLE = "replica's shards"
-_TICK_S = 0.1
+_TICK_INTERVAL_S = 0.1
 
 
 class Replica:
@@ -235,7 +235,7 @@
 
     async def _tick(self) -> None:
         while True:
-            await asyncio.sleep(_TICK_S)
+            await asyncio.sleep(_TICK_INTERVAL_S)
             self.view.forget_silent(self.clock.now_ms())
             self.control.tick()
             for host in self.shards.values():
--- a/catkinpin/adapters/replica/repairs.py
+++ b/catkinpin/adapters/replica/repairs.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface of a replica: replacing a lost disk."""
+"""HTTP interface with which operators repair a replica that lost its disk."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def add_routes(app: sanic.Sanic[Any, Any], node: Node, key_sha256: str) -> None:
-    """Adds the routes; both need the operators' key."""
+    """Adds the routes to show and to order a repair; both need the key."""
 
     @app.get(PATH)
     async def show(req: sanic.Request) -> Any:
@@ -33,7 +33,7 @@
 
 def _state(node: Node) -> dict[str, Any]:
     votes_by_group = node.votes_by_group()
-    waiting = [name for name, done in votes_by_group.items() if not done]
+    waiting = [name for name, votes in votes_by_group.items() if not votes]
     if node.needs_repair():
         state = "needs-repair"
     elif waiting:
@@ -49,9 +49,9 @@
     }
 
 
-def _check_operator(req: sanic.Request, wanted: str) -> None:
+def _check_operator(req: sanic.Request, key_sha256: str) -> None:
     scheme, _, key = req.headers.get("authorization", "").partition(" ")
     given = configuration.key_digest(key.strip())
-    ok = scheme.lower() == "bearer" and hmac.compare_digest(given, wanted)
-    if not wanted or not ok:
+    ok = scheme.lower() == "bearer" and hmac.compare_digest(given, key_sha256)
+    if not key_sha256 or not ok:
         raise sanic.exceptions.Unauthorized("the operators' key is needed")
--- a/catkinpin/adapters/replica/slowdisk.py
+++ b/catkinpin/adapters/replica/slowdisk.py
@@ -1,4 +1,4 @@
-"""Hands leadership over while this host's disk is slow."""
+"""Transfers leadership away while this host's disk is slow."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
 _MIN_LEADING_MS = 1_500
 
 
-class SlowDisk:
-    """Watches the disk's syncs and moves leadership away from a slow disk.
+class SlowDiskMonitor:
+    """Measures disk syncs and transfers leadership away from a slow disk.
 
-    Every commit waits for the leader's disk, but only for some of the others.
-    Where all disks are slow, frequent changes of the leader would cost more
-    than they save, so each leader stays for a while.
+    Every commit waits for the leader's disk, but only for a quorum of all
+    disks. If all disks are slow, frequent leader changes would cost more than
+    they save, so each leader keeps its leadership for a minimum time.
 
     Args:
-        on_slow_disk: called with each group that is handed over.
+        on_slow_disk: called with each group whose leadership is transferred.
     """
 
     def __init__(self, on_slow_disk: Callable[[Group], None]) -> None:
         self._on_slow_disk = on_slow_disk
-        self._times = SyncTimes()
+        self._sync_times = SyncTimes()
         # Last monotonic time at which this host led no group.
         self._idle_ms = 0
 
-    def synced(self, took_ms: float) -> None:
-        """Notes how long a sync took."""
-        self._times.add_sample(took_ms)
+    def record(self, sync_ms: float) -> None:
+        """Records how long a sync took."""
+        self._sync_times.add_sample(sync_ms)
 
     def tick(self, groups: Iterable[Group], now_ms: int) -> None:
-        """Hands the groups led here over if the disk is slow."""
+        """Transfers all groups led here if the disk is slow."""
         led = [group for group in groups if group.is_leader()]
         if not led:
             self._idle_ms = now_ms
         leading_ms = now_ms - self._idle_ms
-        if leading_ms < _MIN_LEADING_MS or not self._times.is_slow():
+        if leading_ms < _MIN_LEADING_MS or not self._sync_times.is_slow():
             return
-        self._times.clear_recent()
+        self._sync_times.clear_recent()
         for group in led:
             if group.transfer():
                 log.warning("slow disk", extra={"group": group.name})
--- a/catkinpin/adapters/replica/snapshotting.py
+++ b/catkinpin/adapters/replica/snapshotting.py
@@ -1,4 +1,4 @@
-"""When a replica writes snapshots of its groups and removes old segments."""
+"""Writes snapshots of a replica's groups and removes old segments."""
 
 from __future__ import annotations
 
@@ -15,42 +15,45 @@
 
 log = logging.getLogger(__name__)
 
-# Segments that idle groups may keep from being removed.
-_PINNED_SEGMENTS = 4
-# One part in this many of the records before a snapshot stays in the log.
-_TAIL_SHARE = 4
-# Pause after a snapshot that found the disk full.
-_DISK_FULL_MS = 1_000
+# Above this number of segments, idle groups that still need the oldest one
+# get a snapshot so that it can be removed.
+_MAX_SEGMENTS = 4
+# After a snapshot the log keeps 1/4 of the snapshot interval's records.
+_KEPT_ENTRIES_DIVISOR = 4
+# Delay before the next snapshot after one failed because the disk is full.
+_DISK_FULL_RETRY_MS = 1_000
 
 
-class Snapshots:
-    """Writes snapshots, and removes the segments that they make needless.
+class SnapshotWriter:
+    """Writes snapshots, and removes the segments that they replace.
 
     Args:
         storage: the log on disk.
-        entries: records of a group between two of its snapshots.
+        snapshot_entries: records of a group between two of its snapshots.
     """
 
-    def __init__(self, storage: Storage, entries: int) -> None:
+    def __init__(self, storage: Storage, snapshot_entries: int) -> None:
         self._storage = storage
-        self._entries = entries
-        self._next_ms = 0
+        self._snapshot_entries = snapshot_entries
+        self._retry_at_ms = 0
 
     def take(
         self, group: Group, groups: Mapping[str, Group], now_ms: int
     ) -> None:
-        """Writes a group's snapshot; a full disk puts it off."""
-        if now_ms < self._next_ms:
+        """Writes a group's snapshot; retries later if the disk is full."""
+        if now_ms < self._retry_at_ms:
             return
         try:
             self._write(group, groups)
         except DiskFullError as exc:
-            log.warning("no snapshot: %s", exc, extra={"group": group.name})
-            self._next_ms = now_ms + _DISK_FULL_MS
+            log.warning(
+                "snapshot postponed: %s", exc, extra={"group": group.name}
+            )
+            self._retry_at_ms = now_ms + _DISK_FULL_RETRY_MS
 
     def _write(self, group: Group, groups: Mapping[str, Group]) -> None:
-        group.take_snapshot(self._entries // _TAIL_SHARE)
-        if self._storage.segment_count() > _PINNED_SEGMENTS:
+        group.take_snapshot(self._snapshot_entries // _KEPT_ENTRIES_DIVISOR)
+        if self._storage.segment_count() > _MAX_SEGMENTS:
             for name in self._storage.oldest_segment_users():
                 if name in groups:
                     groups[name].take_snapshot(0)
--- a/catkinpin/adapters/replica/transfers.py
+++ b/catkinpin/adapters/replica/transfers.py
@@ -1,7 +1,7 @@
-"""Moves a snapshot, and the records it refers to, to another replica.
+"""Transfers a snapshot, and the records it refers to, to another replica.
 
-The receiver pulls part by part: what is on its way is bounded, and a part
-that got lost is asked for again.
+The receiver requests one part at a time. This bounds the bytes in flight, and
+a lost part is requested again.
 """
 
 from __future__ import annotations
@@ -22,21 +22,24 @@
 
 log = logging.getLogger(__name__)
 
-_PART_BYTES = 512 * 1024
-_PART_RECORDS = 512
-_RETRY_MS = 1_000
+_MAX_PART_BYTES = 512 * 1024
+_MAX_REQUESTED_RECORDS = 512
+_RETRY_INTERVAL_MS = 1_000
 
 
-class Fetch:
-    """The receiving end of one snapshot.
+class SnapshotFetch:
+    """Receives one snapshot.
 
     Args:
-        log: where the records go.
+        log: log that stores the received records.
         node: identity of this replica.
-        sender: identity of the replica that offered.
-        offer: what it offered.
+        sender: identity of the replica that offered the snapshot.
+        offer: its offer.
         send: sends a message to a replica.
-        commit: last index of ours that is known to be committed.
+        commit: last index known to be committed in this replica's log.
+
+    Attributes:
+        snapshot: the snapshot, once all parts of its file were received.
     """
 
     def __init__(
@@ -54,20 +57,20 @@
         self._log = log
         self._node = node
         self._send = send
-        self._commit = commit
+        self._commit_index = commit
         self._data = bytearray()
         self._missing: list[int] = []
-        self._asked: set[int] = set()
-        self._asked_ms = 0
+        self._requested: set[int] = set()
+        self._requested_ms = 0
 
     def tick(self, now_ms: int) -> None:
-        """Asks for the next part, or again where none came."""
-        if now_ms - self._asked_ms >= _RETRY_MS:
-            self.ask(now_ms)
+        """Repeats the request if no reply came in time."""
+        if now_ms - self._requested_ms >= _RETRY_INTERVAL_MS:
+            self.request_next(now_ms)
 
-    def ask(self, now_ms: int) -> None:
-        """Asks for the next part."""
-        self._asked_ms = now_ms
+    def request_next(self, now_ms: int) -> None:
+        """Requests the next part of the file, or the next records."""
+        self._requested_ms = now_ms
         if self.snapshot is None:
             pull: Any = transport.SnapshotPull(
                 group=self._log.name,
@@ -77,19 +80,19 @@
                 offset=len(self._data),
             )
         else:
-            if not self._asked:
-                self._asked = set(self._missing[-_PART_RECORDS:])
-                del self._missing[-_PART_RECORDS:]
+            if not self._requested:
+                self._requested = set(self._missing[-_MAX_REQUESTED_RECORDS:])
+                del self._missing[-_MAX_REQUESTED_RECORDS:]
             pull = transport.RecordsPull(
                 group=self._log.name,
                 sender=self._node,
                 to=self.sender,
-                indexes=sorted(self._asked),
+                indexes=sorted(self._requested),
             )
         self._send(self.sender, pull)
 
-    def part(self, part: transport.SnapshotPart) -> bool:
-        """Takes a part; returns False where the snapshot is gone."""
+    def handle_part(self, part: transport.SnapshotPart) -> bool:
+        """Stores a part; returns False if the sender has no such snapshot."""
         if part.index != self.offer.index or self.snapshot is not None:
             return True
         if part.size == 0:
@@ -98,47 +101,52 @@
             return True
         self._data += part.data
         if len(self._data) == part.size:
-            return self._whole()
+            return self._load_snapshot()
         return True
 
-    def records(self, entries: list[Entry]) -> bool:
-        """Takes records; returns False where they are gone."""
+    def handle_records(self, entries: list[Entry]) -> bool:
+        """Stores records; returns False if the sender has none of them."""
         for entry in entries:
-            if entry.index in self._asked:
-                self._asked.discard(entry.index)
+            if entry.index in self._requested:
+                self._requested.discard(entry.index)
                 self._log.add_fetched(entry)
         return bool(entries)
 
     def is_complete(self) -> bool:
         """Returns whether the snapshot can be installed."""
-        left = self._missing or self._asked
-        return self.snapshot is not None and not left
+        outstanding = self._missing or self._requested
+        return self.snapshot is not None and not outstanding
 
-    def _whole(self) -> bool:
+    def _load_snapshot(self) -> bool:
         content = bytes(self._data)
         self._data.clear()
         try:
             self.snapshot = snapshots.from_bytes(content, self.sender)
         except StorageError:
-            # The damage is at the other end; this replica must not stop.
-            log.exception("snapshot refused", extra={"group": self._log.name})
+            # The sender's file is damaged; that must not stop this replica.
+            log.exception("invalid snapshot", extra={"group": self._log.name})
             return False
         referenced = self.snapshot.referenced()
-        self._missing = [i for i in referenced if not self._holds(i)]
+        self._missing = [
+            i for i in referenced if not self._has_committed_record(i)
+        ]
         return True
 
-    def _holds(self, index: int) -> bool:
-        # What is past our commit index may be another leader's record.
-        return index <= self._commit and self._log.has_record(index)
+    def _has_committed_record(self, index: int) -> bool:
+        # Past the commit index, this log may hold a different record.
+        return index <= self._commit_index and self._log.has_record(index)
 
 
-def part(
+def read_part(
     group_log: GroupLog, node: str, pull: transport.SnapshotPull
 ) -> transport.SnapshotPart:
-    """Returns the part of the newest snapshot that was asked for."""
+    """Returns the requested part of the newest snapshot.
+
+    Its size is 0 if the requested snapshot is not the newest any more.
+    """
     data, size = b"", 0
     if pull.index == group_log.snapshot_index:
-        data, size = group_log.read_snapshot_part(pull.offset, _PART_BYTES)
+        data, size = group_log.read_snapshot_part(pull.offset, _MAX_PART_BYTES)
     return transport.SnapshotPart(
         group=group_log.name,
         sender=node,
@@ -150,14 +158,14 @@
     )
 
 
-def records(
+def read_records(
     group_log: GroupLog, node: str, pull: transport.RecordsPull
 ) -> transport.Records:
-    """Returns records that were asked for, as many as fit."""
+    """Returns as many of the requested records as fit into a message."""
     entries: list[Entry] = []
     size = 0
     for index in reversed(pull.indexes):
-        if size > _PART_BYTES or not group_log.has_record(index):
+        if size > _MAX_PART_BYTES or not group_log.has_record(index):
             break
         entries.append(group_log.read(index))
         size += len(entries[-1].payload)
--- a/catkinpin/adapters/replica/transport.py
+++ b/catkinpin/adapters/replica/transport.py
@@ -1,4 +1,4 @@
-"""Messages between replicas that are not part of consensus itself."""
+"""Messages between replicas other than those of the consensus protocol."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     """A consensus message of one group.
 
     Attributes:
-        to: identity that it is for; a replica whose disk was lost has the
-            address of an earlier incarnation, and must not answer for it.
+        to: identity of the receiver. A replica that lost its disk has the
+            address of its former identity, and must not answer for that one.
     """
 
     group: str
@@ -30,7 +30,9 @@
 
     Attributes:
         sent_ms: the sender's own monotonic time.
-        groups: names; `terms` and `commits` have the same order.
+        groups: names of the groups.
+        terms: the term of each group, in the order of `groups`.
+        commits: the commit index of each group, in the order of `groups`.
     """
 
     sender: str
@@ -42,7 +44,7 @@
 
 
 class HeartbeatReplies(Message, frozen=True):
-    """Answers `Heartbeats` for the groups in which nothing was new."""
+    """Replies to `Heartbeats` for the groups in which nothing was new."""
 
     sender: str
     to: str
@@ -52,13 +54,15 @@
 
 
 class NodeInfo(Message, frozen=True):
-    """Who a replica is.
+    """Describes the replica that sends it.
 
     Attributes:
+        node: its identity.
+        address: its peer address.
         founded: whether it knows the members of a founded system.
         known: peer addresses of the replicas that it knows.
-        empty: whether an earlier disk of it may have been lost.
-        knows_group: whether anyone told it of a founded system.
+        empty: whether it may have lost an earlier disk.
+        knows_group: whether another process has told it of a founded system.
     """
 
     node: str
@@ -70,20 +74,23 @@
 
 
 class Found(Message, frozen=True):
-    """Names the first members of all groups."""
+    """Reports that the system is founded, with its members."""
 
     members: Members
 
 
 class Join(Message, frozen=True):
-    """A replica with a new identity asks to take its address's place."""
+    """Asks to add the sender to all groups, or to replace a lost replica.
+
+    A lost replica is one with the same address and another identity.
+    """
 
     node: str
     address: str
 
 
 class SnapshotPull(Message, frozen=True):
-    """Asks for a part of a snapshot file."""
+    """Requests a part of a snapshot file."""
 
     group: str
     sender: str
@@ -93,7 +100,11 @@
 
 
 class SnapshotPart(Message, frozen=True):
-    """A part of a snapshot file; `size` 0 says that it is gone."""
+    """A part of a snapshot file.
+
+    Attributes:
+        size: size of the whole file; 0 if it no longer exists.
+    """
 
     group: str
     sender: str
@@ -105,7 +116,7 @@
 
 
 class RecordsPull(Message, frozen=True):
-    """Asks for records that a snapshot refers to."""
+    """Requests records that a snapshot refers to."""
 
     group: str
     sender: str
@@ -114,7 +125,7 @@
 
 
 class Records(Message, frozen=True):
-    """Some of the records asked for; none where they are gone."""
+    """Some of the requested records; none if they no longer exist."""
 
     group: str
     sender: str
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -214,7 +214,7 @@
         """Guards against majorities of two lists of seeds."""
         self._start(first_start=True)
         again = self._start(first_start=False, seeds=(_US, "127.0.0.1:9"))
-        self.assertEqual([_OTHER], again.awaited_addresses())
+        self.assertEqual([_OTHER], again.awaited_seeds())
 
     def test_broken_identity_file_ends_the_process(self) -> None:
         """Guards against a damaged folder that is taken for an empty one."""
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -172,7 +172,7 @@
 
     def _slow_disk(self, one: LogNode) -> Any:
         """Has a node's syncs seem slow; all nodes share a loop that sleeps."""
-        times = one.node._slow_disk._times
+        times = one.node._disk_monitor._sync_times
         add_sample = times.add_sample
         return mock.patch.object(
             times, "add_sample", lambda ms: add_sample(ms + _SLOWER_MS)
@@ -267,7 +267,7 @@
                 led = [sum(g.is_leader() for g in n.groups) for n in nodes]
                 return sum(led) == 9 and max(led) - min(led) <= 2
 
-            with mock.patch.object(node, "_SPREAD_TICKS", 3):
+            with mock.patch.object(node, "_REBALANCE_INTERVAL_TICKS", 3):
                 await nodes[0].stop()
                 nodes[0] = await self.open(0)
                 await base.until(spread, "the leaders are spread")
