--- a/catkinpin/core/placement/candidates.py
+++ b/catkinpin/core/placement/candidates.py
@@ -1,4 +1,4 @@
-"""Choice of a server for a call: plain functions over a view."""
+"""Policies that choose a server for a call, and their cost model."""
 
 from __future__ import annotations
 
@@ -13,143 +13,153 @@
     from catkinpin.core.placement.jobs import Job
     from catkinpin.core.placement.servers import Server
 
-# Costs are worked out for so many servers at most.
-# The full time is held once one in so many slots is taken.
-_FULL_HOLD = 4
+# Memory is reserved for the full hold time once one in so many slots is used;
+# below that, the hold time shrinks in proportion to the load.
+_FULL_HOLD_SLOTS = 4
+# Limit of the servers for which costs are computed.
 _MAX_CANDIDATES = 32
 
 Policy = Callable[["Job", list["Server"], int], "Server | None"]
 
 
 @dataclasses.dataclass(frozen=True)
-class Prices:
-    """What a choice assumes of engines and links; all times in milliseconds.
+class CostModel:
+    """Assumptions about engines and links behind the estimated costs.
 
     Attributes:
-        prefill_per_ms: tokens an engine computes in a millisecond.
-        recompute: weight of computing history again; it wastes memory that
-            holds it elsewhere, and the reason to move may pass.
-        gap_per_call_ms: what a further call adds to the time between tokens.
-        output_tokens: tokens that a call is expected to generate.
-        region_ms: delay of a call and its answer between regions.
-        link_bytes_per_ms: what the link between regions carries.
-        text_bytes: bytes of a token's text on the link.
-        fill: share of an engine's cache that active programs may fill.
-        memory_ms: price of a place in a cache that is full already.
-        hold_ms: a program that has paused for longer is not active; on a
-            server with few running calls a part of this is enough.
-        min_hold_ms: no shorter pause costs a program its room.
+        prefill_tokens_per_ms: Tokens that an engine prefills per millisecond.
+        recompute_weight: Weight of prefilling history again. It is above 1
+            because the copy cached elsewhere wastes memory, and because the
+            reason to move may be temporary.
+        gap_per_call_ms: Time between tokens that each running call adds.
+        expected_output_tokens: Tokens that a call is expected to generate.
+        region_delay_ms: Network delay of a call and its answer between regions.
+        link_bytes_per_ms: Bandwidth of the link between regions.
+        bytes_per_token: Size of a token's text on the link.
+        max_active_share: Share of an engine's cache that active programs may
+            use.
+        full_cache_ms: Cost for a new program if active programs use the whole
+            cache; it is proportional to the used share.
+        max_hold_ms: Pause after which a program is no longer active; shorter
+            on a server with few running calls.
+        min_hold_ms: Lower bound of that pause.
     """
 
-    prefill_per_ms: float = 10.0
-    recompute: float = 4.0
+    prefill_tokens_per_ms: float = 10.0
+    recompute_weight: float = 4.0
     gap_per_call_ms: float = 0.35
-    output_tokens: int = 150
-    region_ms: float = 16.0
+    expected_output_tokens: int = 150
+    region_delay_ms: float = 16.0
     link_bytes_per_ms: float = 1_875.0
-    text_bytes: float = 1.6
-    fill: float = 0.9
-    memory_ms: float = 1_000.0
-    hold_ms: int = 30_000
+    bytes_per_token: float = 1.6
+    max_active_share: float = 0.9
+    full_cache_ms: float = 1_000.0
+    max_hold_ms: int = 30_000
     min_hold_ms: int = 2_000
 
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What a server would cost a call, in milliseconds.
+    """Estimated cost of a call on a server.
 
     Attributes:
-        wait: slower tokens and waiting beside the running calls.
-        prefill: computing what the server does not hold.
-        transfer: delay and bytes between regions.
-        fits: whether a slot and memory are free for it.
+        wait_ms: Delay by the running calls and by a full cache.
+        prefill_ms: Prefill of the tokens that the server has not cached.
+        transfer_ms: Network delay and transfer time between regions.
+        fits: Whether the server has a free slot and enough memory.
     """
 
     server: Server
-    wait: float
-    prefill: float
-    transfer: float
+    wait_ms: float
+    prefill_ms: float
+    transfer_ms: float
     fits: bool
 
     @property
-    def total(self) -> float:
-        """All together."""
-        return self.wait + self.prefill + self.transfer
+    def total_ms(self) -> float:
+        """Sum of the costs."""
+        return self.wait_ms + self.prefill_ms + self.transfer_ms
 
 
-Note = Callable[["Job", list[Cost], "Server | None", int], None]
+CostObserver = Callable[["Job", list[Cost], "Server | None", int], None]
 
 
-def costs(
+def server_costs(
     job: Job,
     servers: list[Server],
     now_ms: int,
-    prices: Prices,
-    share: float = 1.0,
+    model: CostModel,
+    cache_share: float = 1.0,
 ) -> list[Cost]:
-    """Returns what each server would cost, the cheapest first.
+    """Returns the cost of a call on each server, the cheapest first.
 
     Args:
-        job: the call.
-        servers: those that may get it.
-        now_ms: monotonic time.
-        prices: what to assume of engines and links.
-        share: part of each cache that this process may fill; other leaders'
-            programs, unseen here, fill the rest.
+        job: The call.
+        servers: The candidate servers.
+        now_ms: Monotonic time.
+        model: The cost model.
+        cache_share: Share of each cache that this process may use; programs
+            of other leaders, which are not visible here, use the rest.
     """
-    found = [_cost(job, one, now_ms, prices, share) for one in servers]
+    costs = [
+        _cost(job, server, now_ms, model, cache_share) for server in servers
+    ]
     return sorted(
-        found, key=lambda cost: (cost.total, cost.server.report.server)
+        costs, key=lambda cost: (cost.total_ms, cost.server.report.server)
     )
 
 
 def by_cost(
-    prices: Prices,
-    share: Callable[[], float] = lambda: 1.0,
-    note: Note = lambda *_: None,
+    model: CostModel,
+    cache_share: Callable[[], float] = lambda: 1.0,
+    observe: CostObserver = lambda *_: None,
 ) -> Policy:
-    """Returns the policy that takes the cheapest server with room.
+    """Returns a policy that chooses the cheapest server with free capacity.
 
     Args:
-        prices: what to assume of engines and links.
-        share: see `costs`.
-        note: called with each decision.
+        model: The cost model.
+        cache_share: Returns the share described at `server_costs`.
+        observe: Called with each decision.
     """
 
     def choose(job: Job, servers: list[Server], now_ms: int) -> Server | None:
-        few = sample(job, servers, now_ms)
-        found = costs(job, few, now_ms, prices, share())
-        fitting = (cost.server for cost in found if cost.fits)
+        sampled = sample_servers(job, servers, now_ms)
+        costs = server_costs(job, sampled, now_ms, model, cache_share())
+        fitting = (cost.server for cost in costs if cost.fits)
         chosen = next(fitting, None)
-        note(job, found, chosen, now_ms)
+        observe(job, costs, chosen, now_ms)
         return chosen
 
     return choose
 
 
-def keeps_home(
-    prices: Prices, share: Callable[[], float] = lambda: 1.0
+def home_is_cheapest(
+    model: CostModel, cache_share: Callable[[], float] = lambda: 1.0
 ) -> Callable[[Job, Server, int], bool]:
-    """Returns a check whether no other server can cost a call less."""
+    """Returns a predicate that no other server can be cheaper for a call."""
 
     def check(job: Job, home: Server, now_ms: int) -> bool:
         if not job.history_tokens or job.kind != "model":
             return False
         if not home.residents.cached_tokens(job.key.program_key):
             return False
-        cost = _cost(job, home, now_ms, prices, share())
-        new = job.prompt_tokens - job.history_tokens
-        history = own_tokens(job, home) - new
-        elsewhere = (new + prices.recompute * history) / prices.prefill_per_ms
-        return cost.fits and cost.total <= elsewhere
+        cost = _cost(job, home, now_ms, model, cache_share())
+        new_tokens = job.prompt_tokens - job.history_tokens
+        history = unshared_tokens(job, home) - new_tokens
+        elsewhere_ms = (
+            new_tokens + model.recompute_weight * history
+        ) / model.prefill_tokens_per_ms
+        return cost.fits and cost.total_ms <= elsewhere_ms
 
     return check
 
 
-def sample(job: Job, servers: list[Server], now_ms: int) -> list[Server]:
-    """Returns some of many servers, others at other times.
+def sample_servers(
+    job: Job, servers: list[Server], now_ms: int
+) -> list[Server]:
+    """Returns a subset of the servers that varies with the program and time.
 
-    Among many, the best of a few dozen is nearly as good as the best of all.
+    The best of a few dozen servers is nearly as good as the best of many.
     """
     if len(servers) <= _MAX_CANDIDATES:
         return servers
@@ -159,16 +169,16 @@
     return chosen + servers[: _MAX_CANDIDATES - len(chosen)]
 
 
-def missing_tokens(job: Job, server: Server) -> int:
-    """Returns the tokens of the prompt that a server would have to compute."""
-    held = server.residents.cached_tokens(job.key.program_key)
-    return max(0, own_tokens(job, server) - held)
+def uncached_tokens(job: Job, server: Server) -> int:
+    """Returns the prompt tokens that a server would have to prefill."""
+    cached = server.residents.cached_tokens(job.key.program_key)
+    return max(0, unshared_tokens(job, server) - cached)
 
 
-def own_tokens(job: Job, server: Server) -> int:
-    """Returns the memory that the call's context needs on a server.
+def unshared_tokens(job: Job, server: Server) -> int:
+    """Returns the tokens of the context that need memory of their own.
 
-    What other programs there share with it needs no memory of its own.
+    The prefix shared with other programs on the server is not counted.
     """
     shared = job.shared_tokens
     if job.parent and shared:
@@ -178,58 +188,70 @@
 
 
 def _cost(
-    job: Job, server: Server, now_ms: int, prices: Prices, share: float
+    job: Job, server: Server, now_ms: int, model: CostModel, cache_share: float
 ) -> Cost:
     report = server.report
     slots = max(1, report.capacity)
-    transfer = 0.0
+    transfer_ms = 0.0
     if job.region and report.region and report.region != job.region:
-        size = job.prompt_tokens - job.history_tokens
+        sent_tokens = job.prompt_tokens - job.history_tokens
         if report.server != job.last_server:
-            size = job.prompt_tokens
-        transfer = prices.region_ms
-        transfer += size * prices.text_bytes / prices.link_bytes_per_ms
+            sent_tokens = job.prompt_tokens
+        transfer_ms = model.region_delay_ms
+        transfer_ms += (
+            sent_tokens * model.bytes_per_token / model.link_bytes_per_ms
+        )
     if report.kind != "model":
-        wait = 1_000.0 * server.load / slots
-        return Cost(server, wait, 0.0, transfer, server.load < slots)
-    cache = report.cache_tokens * share
-    # Room kept for programs that never say they have ended would leave the
-    # engine idle while others wait for it: the idler it is, the sooner a
-    # paused program loses its room.
-    busy = min(1.0, _FULL_HOLD * server.load / slots)
-    hold_ms = round(max(prices.min_hold_ms, prices.hold_ms * busy))
-    server.residents.rest(now_ms, hold_ms, round(cache))
-    wait = server.load * prices.gap_per_call_ms * prices.output_tokens
-    missing = missing_tokens(job, server)
-    known = max(job.history_tokens, job.shared_tokens if job.parent else 0)
-    new = max(0, min(missing, job.prompt_tokens - known))
-    weighed = new + prices.recompute * (missing - new)
-    prefill = weighed / prices.prefill_per_ms
+        wait_ms = 1_000.0 * server.load / slots
+        return Cost(server, wait_ms, 0.0, transfer_ms, server.load < slots)
+    usable_tokens = report.cache_tokens * cache_share
+    # Memory reserved for programs that never report their end would leave the
+    # engine idle while other programs wait. The lower its load, the sooner a
+    # paused program loses its reservation.
+    load_share = min(1.0, _FULL_HOLD_SLOTS * server.load / slots)
+    hold_ms = round(max(model.min_hold_ms, model.max_hold_ms * load_share))
+    server.residents.expire_idle(now_ms, hold_ms, round(usable_tokens))
+    wait_ms = server.load * model.gap_per_call_ms * model.expected_output_tokens
+    uncached = uncached_tokens(job, server)
+    known_tokens = max(
+        job.history_tokens, job.shared_tokens if job.parent else 0
+    )
+    new_tokens = max(0, min(uncached, job.prompt_tokens - known_tokens))
+    weighted_tokens = new_tokens + model.recompute_weight * (
+        uncached - new_tokens
+    )
+    prefill_ms = weighted_tokens / model.prefill_tokens_per_ms
     if not server.residents.is_active(job.key.program_key):
-        used = server.residents.active_tokens / max(1.0, cache)
-        wait += prices.memory_ms * used
-    fits = server.load < slots and _has_memory(job, server, prices, cache)
-    return Cost(server, wait, prefill, transfer, fits)
+        used_share = server.residents.active_tokens / max(1.0, usable_tokens)
+        wait_ms += model.full_cache_ms * used_share
+    fits = server.load < slots and _has_memory(
+        job, server, model, usable_tokens
+    )
+    return Cost(server, wait_ms, prefill_ms, transfer_ms, fits)
 
 
-def _has_memory(job: Job, server: Server, prices: Prices, cache: float) -> bool:
-    """Returns whether the context fits beside those of active programs.
+def _has_memory(
+    job: Job, server: Server, model: CostModel, usable_tokens: float
+) -> bool:
+    """Returns whether the context fits beside those of the active programs.
 
-    Without this limit the active programs of a busy engine evict one another
-    in each pause, and every turn computes its whole history again.
+    Without this limit, the active programs of a busy engine would evict one
+    another during pauses, and every turn would prefill its whole history.
     """
     residents = server.residents
-    if not cache or residents.is_active(job.key.program_key):
+    if not usable_tokens or residents.is_active(job.key.program_key):
         return True
-    room = prices.fill * cache - residents.active_tokens
-    # A context beyond half the cache could wait for ever for that much room.
-    return min(own_tokens(job, server), cache / 2) <= room
+    free_tokens = (
+        model.max_active_share * usable_tokens - residents.active_tokens
+    )
+    # A context larger than half the cache might never find that much memory.
+    return min(unshared_tokens(job, server), usable_tokens / 2) <= free_tokens
 
 
 def least_outstanding(
     job: Job, servers: list[Server], now_ms: int
 ) -> Server | None:
-    """Chooses the server with the fewest granted calls for its capacity."""
+    """Returns the server with the fewest granted calls per capacity."""
     if not servers:
         return None
     return min(
@@ -242,7 +264,7 @@
 
 
 def sticky(job: Job, servers: list[Server], now_ms: int) -> Server | None:
-    """Chooses the program's last server; without one, the least loaded."""
+    """Returns the program's last server; without one, the least loaded."""
     for server in servers:
         if server.report.server == job.last_server:
             return server
@@ -250,7 +272,7 @@
 
 
 def round_robin() -> Policy:
-    """Returns a policy that takes the servers in turn."""
+    """Returns a policy that uses the servers in rotation."""
     turns: dict[str, int] = {}
 
     def choose(job: Job, servers: list[Server], now_ms: int) -> Server | None:
@@ -258,7 +280,7 @@
             return None
         turn = turns.get(job.target, 0)
         turns[job.target] = turn + 1
-        names = sorted(servers, key=lambda server: server.report.server)
-        return names[turn % len(names)]
+        by_name = sorted(servers, key=lambda server: server.report.server)
+        return by_name[turn % len(by_name)]
 
     return choose
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -35,7 +35,7 @@
         text = "the grant needs a form and a deadline"
         for size in (1, 3, 5, 40):
             for cut in range(len(text)):
-                spliced = splice.Splice()
+                spliced = splice.StreamSplicer()
                 got = [spliced.feed(e) for e in _text_events(text, 4)[:cut]]
                 spliced.restart()
                 got += [spliced.feed(e) for e in _text_events(text, size)]
@@ -51,7 +51,7 @@
             _text_events("other", 2),
             [*_text_events("te", 2), _event({}, "stop")],
         ):
-            spliced = splice.Splice()
+            spliced = splice.StreamSplicer()
             for event in _text_events("text", 2):
                 spliced.feed(event)
             spliced.restart()
@@ -66,7 +66,7 @@
             _event({"tool_calls": [{"index": 0, "function": {"arguments": p}}]})
             for p in parts
         ]
-        spliced = splice.Splice()
+        spliced = splice.StreamSplicer()
         got = [spliced.feed(event) for event in events[:2]]
         spliced.restart()
         got += [spliced.feed(event) for event in events]
@@ -112,16 +112,16 @@
     """The timeout of a silent stream follows the server's usual pace."""
 
     def test_timeout_stays_within_its_bounds(self) -> None:
-        gaps = pauses.Gaps(200, 5_000)
-        self.assertEqual(5_000, gaps.election_timeout_ms("unknown"))
+        gaps = pauses.GapEstimator(200, 5_000)
+        self.assertEqual(5_000, gaps.timeout_ms("unknown"))
         for gap_ms, low_ms, high_ms in (
             (1, 200, 200),
             (26, 200, 400),
             (9_000, 5_000, 5_000),
         ):
             for _ in range(60):
-                gaps.note(f"s{gap_ms}", gap_ms)
-            timeout_ms = gaps.election_timeout_ms(f"s{gap_ms}")
+                gaps.record_gap(f"s{gap_ms}", gap_ms)
+            timeout_ms = gaps.timeout_ms(f"s{gap_ms}")
             self.assertTrue(
                 low_ms <= timeout_ms <= high_ms, (gap_ms, timeout_ms)
             )
