--- a/catkinpin/adapters/replica/context.py
+++ b/catkinpin/adapters/replica/context.py
@@ -1,4 +1,4 @@
-"""The replica process as its log groups' hosts see it."""
+"""What the hosts of the log groups need of the replica process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ShardState(Protocol):
-    """A shard's host, as far as the control group reads it."""
+    """What the control group reads of a shard's host."""
 
     @property
     def state(self) -> Shard:
@@ -28,34 +28,34 @@
 
 
 class QuarantineState(Protocol):
-    """The control group's state, as far as shards read it."""
+    """What the shards read of the control group's state."""
 
     @property
     def quarantine(self) -> Container[bytes]:
-        """Fingerprints of the contents that no server may get."""
+        """Fingerprints of the quarantined contents, which no server may get."""
 
 
-class Quarantines(Protocol):
-    """The control group's host, as far as shards use it."""
+class QuarantineHost(Protocol):
+    """What the shards need of the control group's host."""
 
     @property
     def state(self) -> QuarantineState:
-        """Its state."""
+        """The control group's state."""
 
     async def quarantine(self, fingerprint: bytes, reason: str) -> bool:
-        """Has a content quarantined; returns whether it stands in the log."""
+        """Quarantines a content; returns whether that is in the log."""
 
 
 class ReplicaContext(Protocol):
     """What the hosts of the log groups need of a replica.
 
     Attributes:
-        cfg: its settings.
-        clock: time.
-        node: its part in the log groups.
-        view: the backend servers, from their reports.
+        cfg: the replica's settings.
+        clock: the replica's clock.
+        node: runs the replica's log groups.
+        view: the backend servers, according to their reports.
         replicas: streams to all replicas.
-        lease: its lease to serve under the configuration.
+        lease: the lease to decide by the present configuration.
     """
 
     cfg: ReplicaSettings
@@ -70,20 +70,20 @@
         """The hosts of the shards, by name."""
 
     @property
-    def control(self) -> Quarantines:
+    def control(self) -> QuarantineHost:
         """The host of the control group."""
 
     def led_share(self) -> float:
-        """Returns the part of the shards that this replica leads."""
+        """Returns the share of the shards that this replica leads."""
 
     def send(self, to: EntryRef, message: Any) -> None:
-        """Sends to an entry; dropped where that incarnation has gone."""
+        """Sends to an entry; drops the message if the entry has gone."""
 
     def send_to(self, incarnation: str, message: Any) -> None:
-        """Sends to a process; dropped where that incarnation has gone."""
+        """Sends to a process; drops the message if the process has gone."""
 
     def entry_streams(self) -> Iterable[links.Stream]:
         """Returns the streams of all entries that are connected."""
 
     def configuration_changed(self, cfg: Configuration) -> None:
-        """Puts a new configuration in force here."""
+        """Applies a new configuration to the shards and the lease."""
--- a/catkinpin/adapters/replica/controlhost.py
+++ b/catkinpin/adapters/replica/controlhost.py
@@ -1,4 +1,4 @@
-"""The control group in a replica: its log, its state, its leader's part."""
+"""Hosts the control group in a replica: its state and, if led, its leader."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 
 
 class ControlHost:
-    """The control group's state, and what its leader answers."""
+    """Holds the control group's state, and answers requests if it leads."""
 
     def __init__(self, replica: ReplicaContext) -> None:
         self._replica = replica
-        self._reported: dict[str, changes.ServerFacts] = {}
+        self._changed_facts: dict[str, changes.ServerFacts] = {}
         self.state = control.ControlState()
         self.leader: leader.ControlLeader | None = None
         self.group = replica.node.add_group(sharding.CONTROL_GROUP, self)
 
     def handle(self, stream: links.Stream, message: Any) -> None:
-        """Takes a process's message for the control group."""
+        """Handles a request of a process to the control group."""
         if self.leader is None or not self.group.is_leader():
             stream.send(
                 messages.NotLeader(
@@ -53,97 +53,99 @@
             )
             return
         clock = self._replica.clock
-        info = process_info(stream)
-        self._run(
+        info = _process_info(stream)
+        self._run_commands(
             self.leader.handle(info, message, clock.now_ms(), clock.wall_ms())
         )
 
     def tick(self) -> None:
-        """Lets the leader register what is new and carry plans on."""
-        reported, self._reported = self._reported, {}
+        """Lets the leader propose changed facts and continue plans."""
+        changed_facts, self._changed_facts = self._changed_facts, {}
         if self.leader is None or not self.group.is_leader():
             return
         clock = self._replica.clock
         commands = self.leader.tick(clock.now_ms(), clock.wall_ms())
-        facts = list(reported.values())
+        facts = list(changed_facts.values())
         commands += self.leader.propose_server_facts(facts, clock.wall_ms())
-        self._run(commands)
+        self._run_commands(commands)
 
-    def reported(self, reports: Iterable[messages.ServerReport]) -> None:
-        """Notes the hard facts in reports of backend servers."""
+    def handle_reports(self, reports: Iterable[messages.ServerReport]) -> None:
+        """Queues the facts that changed in reports of backend servers."""
         if self.leader is None:
             return
         for report in reports:
-            facts = server_facts(report)
+            facts = _server_facts(report)
             if self.state.servers.get(report.server) != facts:
-                self._reported[report.server] = facts
+                self._changed_facts[report.server] = facts
 
-    def disconnected(self, stream: links.Stream) -> None:
-        """Notes that a process has no stream to here any more."""
+    def remove_process(self, stream: links.Stream) -> None:
+        """Records that a process has no stream to this replica any more."""
         if self.leader is not None and stream.hello is not None:
             self.leader.connected.pop(stream.hello.incarnation, None)
 
     async def quarantine(self, fingerprint: bytes, reason: str) -> bool:
-        """Quarantines a request's content through whoever leads the group.
+        """Asks the group's leader to quarantine a request's content.
 
         Returns:
-            Whether it stands in the log; False where no leader answered.
+            Whether that is in the log; False if no leader answered.
         """
 
-        def make(ask: int) -> changes.Quarantine:
+        def make_request(ask: int) -> changes.Quarantine:
             return changes.Quarantine(
                 ask=ask, fingerprint=fingerprint, reason=reason
             )
 
         try:
             await self._replica.replicas.ask(
-                self.group.name, make, _QUARANTINE_TIMEOUT_S
+                self.group.name, make_request, _QUARANTINE_TIMEOUT_S
             )
         except PeerLostError as exc:
-            log.error("not quarantined: %s", exc)
+            log.error("content not quarantined: %s", exc)
             return False
         return True
 
     def apply(self, index: int, payload: bytes) -> None:
-        """Applies a committed record; the leader answers who waits for it."""
+        """Applies a committed record; the leader answers waiting requests."""
         record = _decoder.decode(payload)
-        before = self.state.revision
+        old_revision = self.state.revision
         outcome = self.state.apply(index, record)
-        if self.state.revision != before:
+        if self.state.revision != old_revision:
             self._replica.configuration_changed(self.state.cfg)
         if self.leader is not None:
-            now = self._replica.clock.now_ms()
-            commands = self.leader.answer_waiters(record, outcome, now)
-            if self.state.revision != before:
-                commands += self.leader.push_update(before)
-            self._run(commands)
+            now_ms = self._replica.clock.now_ms()
+            commands = self.leader.answer_waiters(record, outcome, now_ms)
+            if self.state.revision != old_revision:
+                commands += self.leader.push_update(old_revision)
+            self._run_commands(commands)
 
     def leadership_changed(self, leading: bool) -> None:
-        """Takes up or lays down the leader's part."""
+        """Starts or stops leading; redirects waiting requests on a change."""
         if self.leader is not None:
             for command in self.leader.redirect_waiters():
-                self._run([command])
+                self._run_commands([command])
         self.leader = None
         if leading:
-            now = self._replica.clock.now_ms()
-            self.leader = leader.ControlLeader(self.state, now, self._look)
+            now_ms = self._replica.clock.now_ms()
+            self.leader = leader.ControlLeader(
+                self.state, now_ms, self._cluster_view
+            )
 
     def snapshot(self) -> bytes:
-        """Returns the state."""
+        """Returns the encoded state."""
         return snapshot.encode_state(self.state)
 
     def restore(self, data: bytes) -> None:
         """Replaces the state by a snapshot."""
-        before = self.state.revision
+        old_revision = self.state.revision
         self.state = snapshot.decode_state(data)
-        if self.state.revision != before:
+        if self.state.revision != old_revision:
             self._replica.configuration_changed(self.state.cfg)
 
     def referenced(self) -> list[int]:
-        """Returns the log indexes whose records are still read: none."""
+        """Returns no index, since the state refers to no record of the log."""
         return []
 
-    def _run(self, commands: list[leader.Command]) -> None:
+    def _run_commands(self, commands: list[leader.Command]) -> None:
         for command in commands:
             match command:
                 case leader.Propose():
@@ -151,13 +153,13 @@
                 case leader.Send():
                     self._replica.send_to(command.to, command.message)
 
-    def _look(self) -> plans.ClusterView:
+    def _cluster_view(self) -> plans.ClusterView:
         programs = itertools.chain.from_iterable(
             host.state.programs.values()
             for host in self._replica.shards.values()
         )
         cfg = self.state.cfg
-        now = self._replica.clock.now_ms()
+        now_ms = self._replica.clock.now_ms()
         view = self._replica.view
         reports = [server.report for server in view.servers.values()]
         return plans.ClusterView(
@@ -166,12 +168,12 @@
             revision_of=self.state.revision_of,
             servers=sorted(reports, key=lambda report: report.server),
             usage=usage.summarize_usage(programs, cfg),
-            silent=frozenset(view.silent_servers(now)),
+            silent=frozenset(view.silent_servers(now_ms)),
         )
 
 
-def process_info(stream: links.Stream) -> changes.ProcessInfo:
-    """Returns the process at the other end of a stream."""
+def _process_info(stream: links.Stream) -> changes.ProcessInfo:
+    """Returns the description of the process at a stream's other end."""
     hello = stream.hello
     assert hello is not None
     return changes.ProcessInfo(
@@ -184,8 +186,11 @@
     )
 
 
-def server_facts(report: messages.ServerReport) -> changes.ServerFacts:
-    """Returns what of a report must outlive the leader."""
+def _server_facts(report: messages.ServerReport) -> changes.ServerFacts:
+    """Returns the facts in a report that the log must store.
+
+    They must survive a change of the leader.
+    """
     return changes.ServerFacts(
         server=report.server,
         incarnation=report.incarnation,
--- a/catkinpin/adapters/replica/mesh.py
+++ b/catkinpin/adapters/replica/mesh.py
@@ -23,7 +23,7 @@
     Args:
         addresses: peer addresses of the other replicas.
         on_connected: called with the address of each stream that connects.
-        accepts_new: whether to connect to replicas that become known later.
+        growable: whether to connect to replicas that become known later.
     """
 
     def __init__(
@@ -31,10 +31,10 @@
         addresses: list[str],
         on_connected: Callable[[str], None],
         *,
-        accepts_new: bool = False,
+        growable: bool = False,
     ) -> None:
         self.addresses = addresses
-        self._accepts_new = accepts_new
+        self._growable = growable
         self._hello: messages.Hello | None = None
         self._on_connected = on_connected
         self._links: dict[str, links.PeerLink] = {}
@@ -47,8 +47,8 @@
             self._connect(address, hello)
 
     def add(self, address: str) -> None:
-        """Connects to a replica that became known, if the mesh accepts it."""
-        if not self._accepts_new or self._hello is None or not address:
+        """Connects to a replica that became known, if the mesh can grow."""
+        if not self._growable or self._hello is None or not address:
             return
         if address not in self._links and address != self._hello.address:
             self.addresses.append(address)
--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -165,9 +165,7 @@
                 f" own address {self.address}; see peer_advertise"
             )
         others = [a for a in listed if a != self.address]
-        self._mesh = mesh.Mesh(
-            others, self._introduce, accepts_new=not is_fixed
-        )
+        self._mesh = mesh.Mesh(others, self._introduce, growable=not is_fixed)
         self._founding = Founding(
             self._identity_file,
             self.address,
--- a/catkinpin/adapters/replica/process.py
+++ b/catkinpin/adapters/replica/process.py
@@ -1,4 +1,4 @@
-"""The replica process: wiring of log groups, streams and HTTP."""
+"""The replica process: connects log groups, streams and HTTP."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-# A replica's stream on which it confirms its configuration as entries do.
+# Role on the streams with which a replica renews its configuration lease.
 _LEASE_ROLE = "replica's shards"
 _TICK_INTERVAL_S = 0.1
 
@@ -50,7 +50,7 @@
             NodeConfig(
                 cfg.data_folder, tuple(cfg.replicas), cfg.snapshot_entries
             ),
-            self._leader_changed,
+            self._send_leader,
             exits.stop_at_once,
             prerequisite_group=sharding.CONTROL_GROUP,
         )
@@ -60,7 +60,7 @@
         }
         self.control = controlhost.ControlHost(self)
         self._peers = links.PeerServer(
-            wire.ToReplica, self._on_message, self._on_closed
+            wire.ToReplica, self._handle_message, self._handle_closed
         )
         self._admin: web.WebServer | None = None
         self._tasks: list[asyncio.Task[None]] = []
@@ -69,16 +69,16 @@
         self.lease: configured.LeaseHolder
 
     async def start(self) -> None:
-        """Listens, then takes part in its groups."""
+        """Starts to listen and to participate in the log groups."""
         self.address = self.cfg.peer_advertise or self.cfg.peer_listen
         if self.address.endswith(":0"):
             self.address = await self._peers.start(self.cfg.peer_listen)
-            self._hold_lease()
+            self._create_lease()
             self.node.start(self._hello())
         else:
-            # Known to others before they can reach us: what they say at once
-            # is not lost.
-            self._hold_lease()
+            # The node starts first, so that it is ready for what the others
+            # send as soon as they can connect.
+            self._create_lease()
             self.node.start(self._hello())
             await self._peers.start(self.cfg.peer_listen)
         self.replicas.start()
@@ -86,7 +86,7 @@
         repairs.add_routes(app, self.node, self.cfg.operator_key_sha256)
         self._admin = await web.serve(app, self.cfg.admin_listen)
         self._tasks = [
-            asyncio.create_task(self._tick()),
+            asyncio.create_task(self._run_ticks()),
             asyncio.create_task(self.lease.run()),
         ]
         log.info(
@@ -95,7 +95,7 @@
         )
 
     async def stop(self) -> None:
-        """Hands leadership over and stops."""
+        """Transfers leadership and stops."""
         self._stopping = True
         await self.node.stop()
         for task in self._tasks:
@@ -106,24 +106,24 @@
             await self._admin.close()
 
     def led_share(self) -> float:
-        """Returns the part of the shards that this replica leads.
+        """Returns the share of the shards that this replica leads.
 
-        Each leading replica places as much in an engine's cache as its part
-        of the programs: it knows nothing of what the others place there.
+        A replica uses no more than this share of an engine's cache, since it
+        does not know what the other replicas place there.
         """
         led = sum(host.leading for host in self.shards.values())
         return max(1, led) / len(self.shards)
 
     def not_ready(self) -> str:
-        """Returns why this replica takes no part, or an empty string."""
+        """Returns why this replica is not ready, or an empty string."""
         return "stopping" if self._stopping else self.node.not_ready()
 
     def send(self, to: leader.EntryRef, message: Any) -> None:
-        """Sends to an entry; dropped if that incarnation has gone."""
+        """Sends to an entry; drops the message if the entry has gone."""
         self.send_to(to.incarnation, message)
 
     def send_to(self, incarnation: str, message: Any) -> None:
-        """Sends to an incarnation of a process; dropped if it has gone."""
+        """Sends to a process; drops the message if the process has gone."""
         stream = self._streams.get(incarnation)
         if stream is not None:
             stream.send(message)
@@ -135,13 +135,16 @@
         ]
 
     def configuration_changed(self, cfg: deployments.Configuration) -> None:
-        """Puts a new configuration in force here."""
+        """Applies a new configuration to the shards and the lease."""
         for host in self.shards.values():
-            host.configured(cfg)
+            host.set_configuration(cfg)
         self.lease.changed()
 
-    def _hold_lease(self) -> None:
-        """Makes this replica confirm its configuration as an entry does."""
+    def _create_lease(self) -> None:
+        """Creates the lease that lets this replica use its configuration.
+
+        The replica renews it the way an entry does.
+        """
         hello = messages.Hello(
             process=self.cfg.name or self.address,
             incarnation=self.incarnation,
@@ -173,21 +176,21 @@
             region=self.cfg.region,
         )
 
-    def _leader_changed(self, group: groups.Group) -> None:
+    def _send_leader(self, group: groups.Group) -> None:
         for stream in self._streams.values():
-            stream.send(_leader_of(group))
+            stream.send(_leader_message(group))
 
-    def _on_message(self, stream: links.Stream, message: Any) -> None:
+    def _handle_message(self, stream: links.Stream, message: Any) -> None:
         if stream.hello is None:
             return
         if stream.hello.role == mesh.ROLE:
-            self._on_replica_message(message)
+            self._handle_replica_message(message)
             return
         match message:
             case messages.Hello():
-                self._on_hello(stream)
+                self._handle_hello(stream)
             case messages.Reports():
-                self._take_reports(message)
+                self._handle_reports(message)
             case messages.CacheEvents():
                 self.view.apply_cache_events(message)
             case _ if isinstance(message, changes.FromProcess):
@@ -201,13 +204,13 @@
                 group = sharding.group_of(key, self.cfg.shards)
                 self.shards[group].handle(stream, message)
 
-    def _on_replica_message(self, message: Any) -> None:
+    def _handle_replica_message(self, message: Any) -> None:
         if isinstance(message, messages.Hello):
             self.node.handle_hello(message)
         else:
             self.node.handle(message)
 
-    def _on_hello(self, stream: links.Stream) -> None:
+    def _handle_hello(self, stream: links.Stream) -> None:
         assert stream.hello is not None
         self._streams[stream.hello.incarnation] = stream
         if _is_entry(stream):
@@ -215,25 +218,25 @@
                 host.entry_connected(stream)
         for group in self.node.groups.values():
             if group.leader:
-                stream.send(_leader_of(group))
+                stream.send(_leader_message(group))
 
-    def _on_closed(self, stream: links.Stream) -> None:
+    def _handle_closed(self, stream: links.Stream) -> None:
         assert stream.hello is not None
         if self._streams.get(stream.hello.incarnation) is stream:
             del self._streams[stream.hello.incarnation]
-            self.control.disconnected(stream)
+            self.control.remove_process(stream)
             for host in self.shards.values():
                 host.entry_lost(stream)
 
-    def _take_reports(self, reports: messages.Reports) -> None:
-        now = self.clock.now_ms()
+    def _handle_reports(self, reports: messages.Reports) -> None:
+        now_ms = self.clock.now_ms()
         for report, age_ms in zip(reports.reports, reports.age_ms, strict=True):
-            self.view.apply_report(report, now - age_ms)
+            self.view.apply_report(report, now_ms - age_ms)
             for host in self.shards.values():
-                host.reported(report, now - age_ms)
-        self.control.reported(reports.reports)
+                host.handle_report(report, now_ms - age_ms)
+        self.control.handle_reports(reports.reports)
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             await asyncio.sleep(_TICK_INTERVAL_S)
             self.view.forget_silent(self.clock.now_ms())
@@ -246,7 +249,7 @@
     return stream.hello is not None and stream.hello.role == "entry"
 
 
-def _leader_of(group: groups.Group) -> messages.GroupLeader:
+def _leader_message(group: groups.Group) -> messages.GroupLeader:
     return messages.GroupLeader(
         group=group.name, term=group.term, leader=group.leader
     )
--- a/catkinpin/adapters/replica/shardhost.py
+++ b/catkinpin/adapters/replica/shardhost.py
@@ -1,4 +1,4 @@
-"""A program shard in a replica: its group, its state, its leader's part."""
+"""Hosts a program shard in a replica: its state and, if led, its leader."""
 
 from __future__ import annotations
 
@@ -28,56 +28,65 @@
 
 
 class ShardHost:
-    """A program shard: its log group, its state and its leader's part."""
+    """Holds a shard's state, and decides about its calls if it leads."""
 
     def __init__(self, replica: ReplicaContext, name: str) -> None:
         self._replica = replica
         self._leading = False
-        self._tasks: set[asyncio.Task[bool]] = set()
+        self._quarantine_tasks: set[asyncio.Task[bool]] = set()
         self.cfg = configuration.Configuration()
         self.state = shard.Shard(name, replica.cfg.shards)
         self.leader = self._new_leader()
         self.group = replica.node.add_group(name, self)
 
-    def configured(self, cfg: configuration.Configuration) -> None:
-        """Decides by a new configuration from now on."""
+    def set_configuration(self, cfg: configuration.Configuration) -> None:
+        """Uses a new configuration for all later decisions."""
         self.cfg = cfg
         self.leader.cfg = cfg
 
     def tick(self) -> None:
-        """Lets the leader decide anew."""
+        """Lets the leader place waiting calls and handle timeouts."""
         if not self._leading:
             return
-        now = self._replica.clock.now_ms()
-        wall = self._replica.clock.wall_ms()
-        decisions = self.scheduler.tick(now)
-        self._run(self.leader.handle_decisions(decisions, now, wall))
-        self._run(self.leader.tick(now, wall))
+        now_ms = self._replica.clock.now_ms()
+        wall_ms = self._replica.clock.wall_ms()
+        decisions = self.scheduler.tick(now_ms)
+        self._run_commands(
+            self.leader.handle_decisions(decisions, now_ms, wall_ms)
+        )
+        self._run_commands(self.leader.tick(now_ms, wall_ms))
+
+    def handle_report(
+        self, report: messages.ServerReport, reported_ms: int
+    ) -> None:
+        """Handles a server's report.
 
-    def reported(self, report: messages.ServerReport, made_ms: int) -> None:
-        """Takes a server's report, made at a monotonic time."""
-        self.leader.handle_report(report, made_ms)
+        Args:
+            report: the report.
+            reported_ms: monotonic time at which the server made it.
+        """
+        self.leader.handle_report(report, reported_ms)
 
     def entry_connected(self, stream: links.Stream) -> None:
-        """Notes an entry's new stream."""
-        commands = self.leader.entry_connected(entry_ref(stream))
+        """Records that an entry has a new stream."""
+        commands = self.leader.entry_connected(_entry_ref(stream))
         if self._leading:
-            self._run(commands)
+            self._run_commands(commands)
 
     def entry_lost(self, stream: links.Stream) -> None:
-        """Notes that an entry's stream broke."""
-        now = self._replica.clock.now_ms()
-        self.leader.entry_lost(entry_ref(stream), now)
+        """Records that an entry's stream was closed."""
+        now_ms = self._replica.clock.now_ms()
+        self.leader.entry_lost(_entry_ref(stream), now_ms)
 
     def _new_leader(self) -> leader.ShardLeader:
         self.decisions = explanations.RecentDecisions()
-        prices = candidates.CostModel()
-        share = self._replica.led_share
+        cost_model = candidates.CostModel()
+        led_share = self._replica.led_share
         self.scheduler = scheduler.Scheduler(
             self._replica.view,
-            candidates.by_cost(prices, share, self.decisions.add),
+            candidates.by_cost(cost_model, led_share, self.decisions.add),
             scheduler.QueueOptions(),
-            candidates.home_is_cheapest(prices, share),
+            candidates.home_is_cheapest(cost_model, led_share),
         )
         rng = random.Random()
         return leader.ShardLeader(
@@ -87,14 +96,17 @@
     def _is_quarantined(self, content: bytes) -> bool:
         return content in self._replica.control.state.quarantine
 
-    def _share(self, content: bytes) -> None:
-        """Has the control group quarantine a content; the leader repeats it."""
+    def _share_quarantine(self, content: bytes) -> None:
+        """Asks the control group to quarantine a content.
+
+        If that fails, the shard's leader asks again later.
+        """
         reason = f"{self.group.name}: it ran on two servers that crashed"
         task = asyncio.create_task(
             self._replica.control.quarantine(content, reason)
         )
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._quarantine_tasks.add(task)
+        task.add_done_callback(self._quarantine_tasks.discard)
 
     @property
     def leading(self) -> bool:
@@ -102,16 +114,16 @@
         return self._leading
 
     def handle(self, stream: links.Stream, message: Any) -> None:
-        """Takes an entry's message for this shard."""
+        """Handles an entry's message for this shard."""
         if isinstance(message, messages.ReleaseDone):
-            self._release_done(message)
+            self._handle_release_done(message)
             return
-        # A leader that missed a change would place calls on servers that were
-        # drained meanwhile, unseen; it decides again once it has confirmed its
-        # configuration, and until then the entry asks again.
-        unconfirmed = bool(self._replica.lease.problem())
-        begins = isinstance(message, messages.Begin)
-        if not self.group.is_leader() or (begins and unconfirmed):
+        # A leader that missed a configuration change might place calls on
+        # servers that were drained since. It places none until it has renewed
+        # its lease on the configuration; until then the entry asks again.
+        lacks_lease = bool(self._replica.lease.problem())
+        is_begin = isinstance(message, messages.Begin)
+        if not self.group.is_leader() or (is_begin and lacks_lease):
             stream.send(
                 messages.NotLeader(
                     ask=message.ask,
@@ -120,53 +132,59 @@
                 )
             )
             return
-        entry = entry_ref(stream)
-        now = self._replica.clock.now_ms()
-        wall = self._replica.clock.wall_ms()
+        entry = _entry_ref(stream)
+        now_ms = self._replica.clock.now_ms()
+        wall_ms = self._replica.clock.wall_ms()
         commands: list[Command] = []
         match message:
             case messages.Begin():
                 with tracing.hop("leader.begin", message.traceparent):
-                    commands = self.leader.begin(entry, message, now, wall)
+                    commands = self.leader.begin(
+                        entry, message, now_ms, wall_ms
+                    )
             case messages.Finish():
-                commands = self.leader.finish(entry, message, now, wall)
+                commands = self.leader.finish(entry, message, now_ms, wall_ms)
             case messages.GetProgram():
                 commands = self.leader.get_program(entry, message)
             case explanations.Explain():
-                stream.send(self.decisions.explain(message, now))
+                stream.send(self.decisions.explain(message, now_ms))
             case messages.EndProgram():
-                commands = self.leader.end_program(entry, message, wall)
-        self._run(commands)
+                commands = self.leader.end_program(entry, message, wall_ms)
+        self._run_commands(commands)
 
-    def _release_done(self, done: messages.ReleaseDone) -> None:
+    def _handle_release_done(self, done: messages.ReleaseDone) -> None:
         if self.group.is_leader():
-            wall = self._replica.clock.wall_ms()
-            self._run(self.leader.release_done(done, wall))
+            wall_ms = self._replica.clock.wall_ms()
+            self._run_commands(self.leader.release_done(done, wall_ms))
 
     def apply(self, index: int, payload: bytes) -> None:
-        """Applies a committed record; only a leader acts on its effects."""
+        """Applies a committed record; only the leader acts on its effects."""
         record = _decoder.decode(payload)
         effects = self.state.apply(index, record)
         if not self._leading:
             return
-        now = self._replica.clock.now_ms()
-        wall = self._replica.clock.wall_ms()
-        self._run(self.leader.handle_applied(record, effects, now, wall))
+        now_ms = self._replica.clock.now_ms()
+        wall_ms = self._replica.clock.wall_ms()
+        self._run_commands(
+            self.leader.handle_applied(record, effects, now_ms, wall_ms)
+        )
 
     def leadership_changed(self, leading: bool) -> None:
-        """Takes up or lays down the leader's part."""
+        """Starts or stops leading the shard."""
         self._leading = leading
         self.scheduler.release_all()
         if not leading:
             return
         self.leader = self._new_leader()
         for stream in self._replica.entry_streams():
-            self.leader.entry_connected(entry_ref(stream))
-        now = self._replica.clock.now_ms()
-        self._run(self.leader.start(now, self._replica.clock.wall_ms()))
+            self.leader.entry_connected(_entry_ref(stream))
+        now_ms = self._replica.clock.now_ms()
+        self._run_commands(
+            self.leader.start(now_ms, self._replica.clock.wall_ms())
+        )
 
     def snapshot(self) -> bytes:
-        """Returns the state without the texts."""
+        """Returns the encoded state; texts stay in the log's records."""
         return self.state.snapshot()
 
     def restore(self, data: bytes) -> None:
@@ -174,10 +192,10 @@
         self.state.restore(data)
 
     def referenced(self) -> Iterable[int]:
-        """Returns the log indexes whose records are still read."""
+        """Returns the indexes of the log's records that the state refers to."""
         return self.state.referenced()
 
-    def _run(self, commands: list[Command]) -> None:
+    def _run_commands(self, commands: list[Command]) -> None:
         for command in commands:
             match command:
                 case Propose():
@@ -185,13 +203,15 @@
                 case Send():
                     self._replica.send(command.to, command.message)
                 case SendAnswer():
-                    self._replica.send(command.to, self._answer(command))
+                    self._replica.send(
+                        command.to, self._answer_message(command)
+                    )
                 case ShareQuarantine():
-                    self._share(command.content)
+                    self._share_quarantine(command.content)
                 case SendGrant():
-                    self._replica.send(command.to, self._grant(command))
+                    self._replica.send(command.to, self._grant_message(command))
 
-    def _answer(self, command: SendAnswer) -> messages.Finished:
+    def _answer_message(self, command: SendAnswer) -> messages.Finished:
         record = _decoder.decode(self.group.read(command.record_index))
         return messages.Finished(
             ask=command.ask,
@@ -202,7 +222,7 @@
             usage=record.usage,
         )
 
-    def _grant(self, command: SendGrant) -> messages.Granted:
+    def _grant_message(self, command: SendGrant) -> messages.Granted:
         texts = []
         for item in command.history:
             record = _decoder.decode(self.group.read(item.record_index))
@@ -211,8 +231,8 @@
         return command.grant
 
 
-def entry_ref(stream: links.Stream) -> leader.EntryRef:
-    """Returns the entry at the other end of a stream."""
+def _entry_ref(stream: links.Stream) -> leader.EntryRef:
+    """Returns a reference to the entry at a stream's other end."""
     hello = stream.hello
     assert hello is not None
     return leader.EntryRef(
