--- a/catkinpin/adapters/disk/__init__.py
+++ b/catkinpin/adapters/disk/__init__.py
@@ -1,1 +1,1 @@
-"""Files: the log, its segments and snapshots, bytes of turns."""
+"""Files on disk: the log, snapshots, and the bytes of turns."""
--- a/catkinpin/adapters/disk/files.py
+++ b/catkinpin/adapters/disk/files.py
@@ -1,4 +1,4 @@
-"""File operations; tests put failing ones in their place."""
+"""File operations that tests can replace by failing ones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
 
-_FULL = (errno.ENOSPC, errno.EDQUOT)
+_DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -35,17 +35,17 @@
         offset += written
 
 
-def write_failure(what: object, exc: OSError) -> StorageError:
-    """Returns the error of a write that failed, a full disk apart."""
-    kind = DiskFullError if exc.errno in _FULL else StorageError
+def write_error(what: object, exc: OSError) -> StorageError:
+    """Returns the error for a failed write; a full disk has its own type."""
+    kind = DiskFullError if exc.errno in _DISK_FULL_ERRNOS else StorageError
     return kind(f"{what}: write failed: {exc}")
 
 
 def make_folder(folder: pathlib.Path) -> None:
-    """Makes a folder, where there is none yet.
+    """Creates a folder if it does not exist.
 
     Raises:
-        StorageError: it can't be made or isn't one.
+        StorageError: the folder can't be created, or the path is a file.
     """
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -54,7 +54,7 @@
 
 
 def sync_folder(ops: FileOps, folder: pathlib.Path) -> None:
-    """Makes the names in a folder last; a new file is lost without it."""
+    """Syncs a folder; otherwise a crash could lose a new file's name."""
     fd = os.open(folder, os.O_RDONLY)
     try:
         ops.fsync(fd)
@@ -62,18 +62,18 @@
         os.close(fd)
 
 
-def replace(ops: FileOps, path: pathlib.Path, data: bytes) -> None:
-    """Writes a file so that a crash leaves the old one or the new one."""
-    beside = path.with_name(path.name + ".tmp")
-    fd = os.open(beside, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
+def replace_file(ops: FileOps, path: pathlib.Path, data: bytes) -> None:
+    """Replaces a file so that a crash leaves either the old or the new one."""
+    temporary = path.with_name(path.name + ".tmp")
+    fd = os.open(temporary, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         write_all(ops, fd, data, 0)
         ops.fsync(fd)
     except OSError:
-        # On a full disk half a file would take the room that others need.
-        beside.unlink()
+        # On a full disk, the partial file would take space that others need.
+        temporary.unlink()
         raise
     finally:
         os.close(fd)
-    beside.replace(path)
+    temporary.replace(path)
     sync_folder(ops, path.parent)
--- a/catkinpin/adapters/disk/grouplog.py
+++ b/catkinpin/adapters/disk/grouplog.py
@@ -1,4 +1,4 @@
-"""The log of one group: where each of its records lies."""
+"""The log of one group: an index of the positions of its records."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RecordStore(Protocol):
-    """The disk as the log of one group sees it."""
+    """What the log of one group needs of the storage."""
 
     def add(self, record: Record) -> int:
         """Buffers a record and returns its position."""
@@ -29,29 +29,31 @@
         """Returns the entry at a position."""
 
     def mark_unneeded(self, position: int) -> None:
-        """Notes that a record is needed no more."""
+        """Records that the record at a position is no longer needed."""
 
     def write_snapshot(self, snapshot: Snapshot) -> None:
-        """Writes a snapshot file that lasts."""
+        """Writes and syncs a snapshot file."""
 
     def read_snapshot(self, group: str, index: int) -> Snapshot | None:
-        """Returns a group's snapshot, None for index 0."""
+        """Returns a group's snapshot; None if `index` is 0."""
 
     def read_snapshot_part(
         self, group: str, index: int, offset: int, size: int
     ) -> tuple[bytes, int]:
-        """Returns a part of a snapshot's file, and its whole size."""
+        """Returns a part of a snapshot's file, and the file's size."""
 
 
 class GroupLog:
     """The log of one group.
 
     Attributes:
-        number: stands for the name in the records.
-        term: the newest term.
-        vote: whom this replica voted for in it.
-        led: whether this replica led it.
+        name: name of the group.
+        number: represents the name in the records.
+        term: the current term.
+        vote: identity of the replica voted for in that term; empty for none.
+        led: whether this replica is, or was, the leader of that term.
         base: last index that the log no longer holds.
+        base_term: term of the entry at `base`.
         snapshot_index: last index of the newest snapshot, 0 for none.
         members: the members as of `base`.
     """
@@ -68,11 +70,11 @@
         self.members = Members()
         self._storage = storage
         self._positions = array.array("Q")
-        # Records from before the base that the snapshot refers to.
-        self._kept = array.array("Q")
+        # Records up to the base that the snapshot refers to.
+        self._kept_indexes = array.array("Q")
         self._kept_positions = array.array("Q")
-        # Records fetched for a snapshot that is not installed yet.
-        self._fetched: dict[int, int] = {}
+        # By index: records received for a snapshot that is not installed yet.
+        self._fetched_positions: dict[int, int] = {}
 
     @property
     def last(self) -> int:
@@ -80,10 +82,10 @@
         return self.base + len(self._positions)
 
     def stored_state(self, founders: Members) -> StoredState:
-        """Returns what a core starts from.
+        """Returns the state from which a consensus core starts.
 
         Args:
-            founders: the members, where no snapshot says otherwise.
+            founders: the members to use if no snapshot has any.
         """
         members = self.members if self.members.members else founders
         return StoredState(
@@ -98,7 +100,7 @@
         )
 
     def save_state(self, term: int, vote: str, *, led: bool) -> None:
-        """Writes term and vote; they last after the next sync."""
+        """Writes the term and the vote; the next sync makes them durable."""
         self.term = term
         self.vote = vote
         self.led = led
@@ -113,36 +115,36 @@
         )
 
     def append(self, entries: list[Entry]) -> None:
-        """Writes entries over whatever the log holds from the first on."""
-        self._cut(entries[0].index - 1)
+        """Writes entries; replaces the log from the first one's index on."""
+        self._truncate_after(entries[0].index - 1)
         for entry in entries:
-            self._positions.append(self._add(RecordType.ENTRY, entry))
+            self._positions.append(self._add_entry(RecordType.ENTRY, entry))
 
     def read(self, index: int) -> Entry:
-        """Returns an entry, or a record kept from before the log's base.
+        """Returns an entry of the log, or a kept record up to its base.
 
         Raises:
-            DamagedLogError: its checksum fails.
-            StorageError: it is neither in the log nor kept.
+            DamagedLogError: the record's checksum does not match.
+            StorageError: the record is neither in the log nor kept.
         """
-        position = self._find(index)
+        position = self._find_position(index)
         if position is None:
             raise StorageError(f"{self.name}: record {index} is not kept")
         return self._storage.read(position)
 
     def has_record(self, index: int) -> bool:
         """Returns whether the record `index` can be read."""
-        return self._find(index) is not None
+        return self._find_position(index) is not None
 
     def save_snapshot(
         self, snapshot: Snapshot, base: int, base_term: int, members: Members
     ) -> None:
-        """Writes a snapshot, then cuts the log up to `base`.
+        """Writes a snapshot, then removes the entries up to `base`.
 
         Args:
-            snapshot: the snapshot; what it refers to stays readable.
-            base: last index that leaves the log.
-            base_term: its term.
+            snapshot: the snapshot; records that it refers to stay readable.
+            base: index of the last entry to remove.
+            base_term: term of that entry.
             members: the members as of `base`.
         """
         self._storage.write_snapshot(snapshot)
@@ -152,54 +154,57 @@
             base_term=base_term,
             members=members,
         )
-        self._move_base(new, snapshot)
+        self._replace_base(new, snapshot)
 
     def add_fetched(self, entry: Entry) -> None:
-        """Writes a record that a snapshot to be installed refers to."""
-        self._fetched[entry.index] = self._add(RecordType.COPY, entry)
+        """Writes a received record to which a fetched snapshot refers."""
+        self._fetched_positions[entry.index] = self._add_entry(
+            RecordType.COPY, entry
+        )
 
     def install(self, snapshot: Snapshot, keeps_tail: bool) -> None:
-        """Replaces the log by a snapshot that came from another replica.
+        """Replaces the log by a snapshot from another replica.
 
         Args:
-            snapshot: the snapshot; what it refers to was kept before.
-            keeps_tail: whether the entries after the snapshot stay.
+            snapshot: the snapshot; all records that it refers to must be in
+                this log or added by `add_fetched`.
+            keeps_tail: whether to keep the entries after the snapshot.
         """
-        described = snapshot.description
+        description = snapshot.description
         self._storage.write_snapshot(snapshot)
         new = Base(
-            snapshot=described.index,
-            base=described.index,
-            base_term=described.term,
-            members=described.members,
+            snapshot=description.index,
+            base=description.index,
+            base_term=description.term,
+            members=description.members,
             drops_tail=not keeps_tail,
         )
-        self._move_base(new, snapshot)
+        self._replace_base(new, snapshot)
 
     def load_snapshot(self) -> Snapshot | None:
-        """Returns the newest snapshot, None where there is none."""
+        """Returns the newest snapshot, None if there is none."""
         return self._storage.read_snapshot(self.name, self.snapshot_index)
 
     def read_snapshot_part(self, offset: int, size: int) -> tuple[bytes, int]:
-        """Returns a part of the newest snapshot's file, and its whole size."""
+        """Returns a part of the newest snapshot's file, and the file's size."""
         return self._storage.read_snapshot_part(
             self.name, self.snapshot_index, offset, size
         )
 
-    def oldest_position(self) -> int | None:
+    def first_entry_position(self) -> int | None:
         """Returns the position of the first entry after the base."""
         return self._positions[0] if self._positions else None
 
     def positions(self) -> Iterator[int]:
-        """Yields the positions of all records that are needed."""
+        """Yields the positions of all needed records."""
         yield from self._positions
         yield from self._kept_positions
-        yield from self._fetched.values()
+        yield from self._fetched_positions.values()
 
-    def write_start(self) -> None:
-        """Writes all but the entries, for the start of a segment.
+    def write_group_header(self) -> None:
+        """Writes the group's name, state and base at the start of a segment.
 
-        So that older segments can go without being searched.
+        Older segments can then be removed without searching them for these.
         """
         name = self.name.encode()
         self._storage.add(
@@ -215,19 +220,21 @@
             )
         )
 
-    def move_kept(self, segment: int) -> None:
-        """Copies the kept records out of a segment."""
-        for place, position in enumerate(self._kept_positions):
+    def move_kept_records(self, segment: int) -> None:
+        """Copies the records to keep from a segment to the active one."""
+        for offset, position in enumerate(self._kept_positions):
             if logrecords.segment_of(position) == segment:
                 entry = self._storage.read(position)
-                moved = self._add(RecordType.COPY, entry)
-                self._kept_positions[place] = moved
-        for index, position in self._fetched.items():
+                moved = self._add_entry(RecordType.COPY, entry)
+                self._kept_positions[offset] = moved
+        for index, position in self._fetched_positions.items():
             if logrecords.segment_of(position) == segment:
                 entry = self._storage.read(position)
-                self._fetched[index] = self._add(RecordType.COPY, entry)
+                self._fetched_positions[index] = self._add_entry(
+                    RecordType.COPY, entry
+                )
 
-    def _add(self, kind: RecordType, entry: Entry) -> int:
+    def _add_entry(self, kind: RecordType, entry: Entry) -> int:
         return self._storage.add(
             Record(
                 type=kind,
@@ -245,23 +252,26 @@
             Record(type=RecordType.BASE, group=self.number, payload=payload)
         )
 
-    def _find(self, index: int) -> int | None:
+    def _find_position(self, index: int) -> int | None:
         if self.base < index <= self.last:
             return self._positions[index - self.base - 1]
-        place = bisect.bisect_left(self._kept, index)
-        if place < len(self._kept) and self._kept[place] == index:
-            return self._kept_positions[place]
-        return self._fetched.get(index)
-
-    def _cut(self, last: int) -> None:
+        offset = bisect.bisect_left(self._kept_indexes, index)
+        if (
+            offset < len(self._kept_indexes)
+            and self._kept_indexes[offset] == index
+        ):
+            return self._kept_positions[offset]
+        return self._fetched_positions.get(index)
+
+    def _truncate_after(self, last: int) -> None:
         for position in self._positions[last - self.base :]:
             self._storage.mark_unneeded(position)
         del self._positions[last - self.base :]
 
-    def _move_base(self, base: Base, snapshot: Snapshot) -> None:
+    def _replace_base(self, base: Base, snapshot: Snapshot) -> None:
         kept = {}
         for index in snapshot.referenced():
-            position = self._find(index)
+            position = self._find_position(index)
             if position is None:
                 raise StorageError(
                     f"{self.name}: the snapshot refers to record {index},"
@@ -270,24 +280,24 @@
             if index <= base.base:
                 kept[index] = position
         self._write_base(base)
-        before = [*self._kept_positions, *self._fetched.values()]
+        released = [*self._kept_positions, *self._fetched_positions.values()]
         if base.drops_tail:
-            before += self._positions
+            released += self._positions
             self._positions = array.array("Q")
-        drop = max(0, base.base - self.base)
-        before += self._positions[:drop]
-        del self._positions[:drop]
-        stay = set(kept.values())
-        for position in before:
-            if position not in stay:
+        dropped_count = max(0, base.base - self.base)
+        released += self._positions[:dropped_count]
+        del self._positions[:dropped_count]
+        still_needed = set(kept.values())
+        for position in released:
+            if position not in still_needed:
                 self._storage.mark_unneeded(position)
-        self._fetched = {}
-        self._set_kept(kept)
+        self._fetched_positions = {}
+        self._set_kept_records(kept)
         self._set_base(base)
 
-    def _set_kept(self, kept: dict[int, int]) -> None:
-        self._kept = array.array("Q", sorted(kept))
-        positions = (kept[index] for index in self._kept)
+    def _set_kept_records(self, kept: dict[int, int]) -> None:
+        self._kept_indexes = array.array("Q", sorted(kept))
+        positions = (kept[index] for index in self._kept_indexes)
         self._kept_positions = array.array("Q", positions)
 
     def _set_base(self, base: Base) -> None:
@@ -298,36 +308,38 @@
 
 
 class Recovery:
-    """Rebuilds a group's log from its records, in the order of writing."""
+    """Rebuilds a group's log from its records, in the order written."""
 
     def __init__(self, log: GroupLog) -> None:
         self.log = log
-        self._before_base: dict[int, int] = {}
-        self._gap = False
+        self._positions_before_base: dict[int, int] = {}
+        self._has_gap = False
 
     def replay(self, record: Record) -> None:
-        """Takes the next record."""
+        """Applies the next record."""
         match record.type:
             case RecordType.STATE:
                 self.log.term = record.term
                 self.log.vote = bytes(record.payload).decode()
                 self.log.led = bool(record.index)
             case RecordType.ENTRY:
-                self._entry(record)
+                self._replay_entry(record)
             case RecordType.COPY:
-                self._before_base[record.index] = record.position
+                self._positions_before_base[record.index] = record.position
             case RecordType.BASE:
-                self._base(logrecords.base_decoder.decode(record.payload))
+                self._replay_base(
+                    logrecords.base_decoder.decode(record.payload)
+                )
 
     def finish(self) -> None:
-        """Keeps of the older records those that the snapshot refers to.
+        """Keeps the records up to the base that the snapshot refers to.
 
         Raises:
-            DamagedLogError: a record that is needed is in no segment.
+            DamagedLogError: a needed record is in no segment.
         """
         log = self.log
-        if self._gap:
-            raise DamagedLogError(_missing(log.name, log.base))
+        if self._has_gap:
+            raise DamagedLogError(_missing_message(log.name, log.base))
         snapshot = log.load_snapshot()
         if snapshot is None:
             return
@@ -335,36 +347,36 @@
         for index in snapshot.referenced():
             if index > log.base:
                 continue
-            if index not in self._before_base:
-                raise DamagedLogError(_missing(log.name, index))
-            kept[index] = self._before_base[index]
-        log._set_kept(kept)
+            if index not in self._positions_before_base:
+                raise DamagedLogError(_missing_message(log.name, index))
+            kept[index] = self._positions_before_base[index]
+        log._set_kept_records(kept)
 
-    def _entry(self, record: Record) -> None:
+    def _replay_entry(self, record: Record) -> None:
         log = self.log
         if record.index > log.last + 1:
-            # Segments between were removed; a later base must cover them.
+            # Segments in between were removed; a later base must cover them.
             log._positions = array.array("Q")
             log.base = record.index - 1
-            self._gap = True
+            self._has_gap = True
         del log._positions[record.index - log.base - 1 :]
         log._positions.append(record.position)
 
-    def _base(self, base: Base) -> None:
+    def _replay_base(self, base: Base) -> None:
         log = self.log
-        if self._gap and base.base < log.base:
+        if self._has_gap and base.base < log.base:
             return
-        self._gap = False
+        self._has_gap = False
         if base.drops_tail:
             log._positions = array.array("Q")
-        drop = max(0, base.base - log.base)
-        for place, position in enumerate(log._positions[:drop]):
-            self._before_base[log.base + 1 + place] = position
-        del log._positions[:drop]
+        dropped_count = max(0, base.base - log.base)
+        for offset, position in enumerate(log._positions[:dropped_count]):
+            self._positions_before_base[log.base + 1 + offset] = position
+        del log._positions[:dropped_count]
         log._set_base(base)
 
 
-def _missing(group: str, index: int) -> str:
+def _missing_message(group: str, index: int) -> str:
     return (
         f"{group}: record {index} is in no segment of this data folder; move"
         " the folder away, start the replica with an empty one and run"
--- a/catkinpin/adapters/disk/logrecords.py
+++ b/catkinpin/adapters/disk/logrecords.py
@@ -1,4 +1,4 @@
-"""The records of the log as they lie in a segment."""
+"""The binary format of the log's records."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# Type, entry kind, group, payload length, index, term, CRC-32 of it all.
+# Type, entry kind, group, payload length, index, term. A CRC-32 of the header
+# and the payload follows.
 _HEADER = struct.Struct("<BBHIQQ")
-_CRC = struct.Struct("<I")
-OVERHEAD = _HEADER.size + _CRC.size
+_CHECKSUM = struct.Struct("<I")
+RECORD_OVERHEAD_BYTES = _HEADER.size + _CHECKSUM.size
 _OFFSET_BITS = 32
 
 
 class RecordType(enum.IntEnum):
-    """What a record is.
+    """Type of a record.
 
-    `COPY` is an entry from a segment that was rewritten, or one that a
-    snapshot refers to; it has no place in the sequence of the log.
+    A `COPY` is an entry copied from a rewritten segment, or received along with
+    a snapshot that refers to it. It is not part of the log's sequence of
+    entries.
     """
 
     ENTRY = 1
@@ -37,7 +39,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Record:
-    """A record; a position says in which segment it lies, and where."""
+    """A record of the log.
+
+    Attributes:
+        type: type of the record.
+        group: number of the group that it belongs to.
+        payload: depends on the type.
+        kind: kind of the entry.
+        index: index of the entry; for `STATE`, 1 if the replica led the term.
+        term: term of the entry or of the state.
+        position: segment and offset, as `encode_position` returns them.
+    """
 
     type: RecordType
     group: int
@@ -49,12 +61,14 @@
 
 
 class Base(codec.Message, frozen=True):
-    """Payload of a `BASE` record: where a group's log begins.
+    """Payload of a `BASE` record: where a group's log starts.
 
     Attributes:
         snapshot: last index that the newest snapshot covers, 0 for none.
+        base: last index that the log no longer holds.
+        base_term: term of the entry at `base`.
         members: the members as of `base`.
-        drops_tail: whether the entries after `base` go as well.
+        drops_tail: whether the entries after `base` are removed as well.
     """
 
     snapshot: int
@@ -67,23 +81,23 @@
 base_decoder = codec.decoder(Base)
 
 
-def position(segment: int, offset: int) -> int:
-    """Returns a segment's number and an offset in it as one number."""
+def encode_position(segment: int, offset: int) -> int:
+    """Returns a segment's number and an offset in it as one integer."""
     return segment << _OFFSET_BITS | offset
 
 
 def segment_of(position: int) -> int:
-    """Returns the number of the segment."""
+    """Returns the segment's number in a position."""
     return position >> _OFFSET_BITS
 
 
 def offset_of(position: int) -> int:
-    """Returns the offset in the segment."""
+    """Returns the offset in a position."""
     return position & ((1 << _OFFSET_BITS) - 1)
 
 
 def pack(record: Record) -> bytes:
-    """Returns a record as it is written."""
+    """Returns the encoded record."""
     header = _HEADER.pack(
         record.type,
         record.kind,
@@ -93,19 +107,19 @@
         record.term,
     )
     crc = zlib.crc32(record.payload, zlib.crc32(header))
-    return header + _CRC.pack(crc) + record.payload
+    return header + _CHECKSUM.pack(crc) + record.payload
 
 
 def payload_size(data: bytes) -> int:
-    """Returns the size of the payload after the first `OVERHEAD` bytes."""
+    """Returns the payload's size, given at least the record's header."""
     size: int = _HEADER.unpack_from(data)[3]
     return size
 
 
 def unpack_entry(data: bytes) -> Entry | None:
-    """Returns the entry in a record, None where the checksum fails."""
-    (crc,) = _CRC.unpack_from(data, _HEADER.size)
-    payload = data[OVERHEAD:]
+    """Returns the entry in a record, None if the checksum does not match."""
+    (crc,) = _CHECKSUM.unpack_from(data, _HEADER.size)
+    payload = data[RECORD_OVERHEAD_BYTES:]
     if zlib.crc32(payload, zlib.crc32(data[: _HEADER.size])) != crc:
         return None
     _, kind, _, _, index, term = _HEADER.unpack_from(data)
@@ -113,7 +127,9 @@
 
 
 def unpack_all(payload: memoryview, start: int) -> Iterator[Record]:
-    """Yields the records of a frame, which has a checksum of its own.
+    """Yields the records of a frame.
+
+    Does not check their checksums, since the frame has one.
 
     Args:
         payload: the frame's payload.
@@ -122,15 +138,15 @@
     offset = 0
     while offset < len(payload):
         header = _HEADER.unpack_from(payload, offset)
-        begin = offset + OVERHEAD
-        end = begin + header[3]
+        payload_start = offset + RECORD_OVERHEAD_BYTES
+        end = payload_start + header[3]
         yield Record(
             type=RecordType(header[0]),
             kind=EntryKind(header[1]),
             group=header[2],
             index=header[4],
             term=header[5],
-            payload=payload[begin:end],
+            payload=payload[payload_start:end],
             position=start + offset,
         )
         offset = end
--- a/catkinpin/adapters/disk/segments.py
+++ b/catkinpin/adapters/disk/segments.py
@@ -1,9 +1,9 @@
 """The files of the log: numbered segments that hold checksummed frames.
 
-A frame is all that one sync made last, for every group of the process. The
-next frame is only written once the one before is synced. So a broken frame
-with nothing whole after it was torn by a crash and never acknowledged, and a
-broken frame with a whole one after it is damage.
+A frame holds the records of all groups that one sync made durable. A frame is
+written only after the previous one is synced. So an invalid frame with no
+valid one after it was torn by a crash and never acknowledged, and an invalid
+frame before a valid one means that the file is damaged.
 """
 
 from __future__ import annotations
@@ -25,20 +25,24 @@
     import pathlib
     from collections.abc import Iterator
 
-MAGIC = b"CATKSEG"
-VERSION = 2
-_FRAME = struct.Struct("<4sQII")  # Mark, sequence number, length, CRC-32.
+FILE_MAGIC = b"CATKSEG"
+FORMAT_VERSION = 2
+_FRAME_HEADER = struct.Struct(
+    "<4sQII"
+)  # Mark, sequence number, length, CRC-32.
 _FRAME_MARK = b"\xc5FRM"
-HEADER_SIZE = len(MAGIC) + 1
-FRAME_SIZE = _FRAME.size
+FILE_HEADER_BYTES = len(FILE_MAGIC) + 1
+FRAME_HEADER_BYTES = _FRAME_HEADER.size
 
 
 @dataclasses.dataclass(frozen=True)
 class Frame:
-    """A whole frame.
+    """A valid frame.
 
     Attributes:
-        offset: where its payload begins in the file.
+        sequence: its number in the sequence of all frames of the log.
+        offset: offset of its payload in the file.
+        payload: its records.
     """
 
     sequence: int
@@ -47,7 +51,14 @@
 
 
 class Segment:
-    """One file of the log."""
+    """One file of the log.
+
+    Attributes:
+        path: path of the file.
+        number: number of the segment, taken from the path.
+        size: size of the file in bytes.
+        fd: descriptor of the open file.
+    """
 
     def __init__(
         self, path: pathlib.Path, ops: files.FileOps, create: bool = False
@@ -59,15 +70,15 @@
         flags = os.O_RDWR | (os.O_CREAT if create else 0)
         self.fd = os.open(path, flags, 0o600)
         if create:
-            self._begin()
+            self._write_file_header()
 
-    def _begin(self) -> None:
-        """Makes a new file last; none is left where the disk is full."""
+    def _write_file_header(self) -> None:
+        """Writes and syncs a new file's header; removes it on a full disk."""
         try:
-            self._write(MAGIC + bytes([VERSION]))
+            self._write(FILE_MAGIC + bytes([FORMAT_VERSION]))
         except DiskFullError:
-            # A later segment would make a torn end of the one before it look
-            # like damage.
+            # Only the last segment may end in a torn frame. If this file
+            # stayed, a torn frame in the one before would count as damage.
             self.close()
             self.path.unlink()
             raise
@@ -75,15 +86,15 @@
         files.sync_folder(self._ops, self.path.parent)
 
     def write(self, sequence: int, payload: bytes) -> int:
-        """Writes a frame, not yet synced; returns its payload's offset."""
+        """Writes a frame without a sync; returns its payload's offset."""
         crc = zlib.crc32(payload, sequence & 0xFFFFFFFF)
-        header = _FRAME.pack(_FRAME_MARK, sequence, len(payload), crc)
+        header = _FRAME_HEADER.pack(_FRAME_MARK, sequence, len(payload), crc)
         offset = self.size + len(header)
         self._write(header + payload)
         return offset
 
     def sync(self) -> None:
-        """Makes all written frames last."""
+        """Syncs all written frames."""
         try:
             self._ops.fdatasync(self.fd)
         except OSError as exc:
@@ -93,35 +104,35 @@
         """Returns bytes of the file."""
         return os.pread(self.fd, size, offset)
 
-    def frames(self, expected: int, is_last: bool) -> Iterator[Frame]:
-        """Yields the frames; cuts a torn tail off the last segment.
+    def frames(self, expected_sequence: int, is_last: bool) -> Iterator[Frame]:
+        """Yields the frames; truncates a torn tail of the last segment.
 
         Args:
-            expected: sequence number of the first frame, 0 for any.
+            expected_sequence: sequence number of the first frame, 0 for any.
             is_last: whether no later segment exists.
 
         Raises:
-            DamagedLogError: a frame that was synced is broken.
+            DamagedLogError: a frame that was synced is invalid.
             StorageError: the file has an unknown format.
         """
         data = memoryview(os.pread(self.fd, os.fstat(self.fd).st_size, 0))
-        if len(data) < HEADER_SIZE and is_last:
-            # The crash came before this new segment was synced.
-            self._cut(0)
-            self._write(MAGIC + bytes([VERSION]))
+        if len(data) < FILE_HEADER_BYTES and is_last:
+            # The process crashed before it had synced this new segment.
+            self._truncate(0)
+            self._write(FILE_MAGIC + bytes([FORMAT_VERSION]))
             self._ops.fsync(self.fd)
             return
         self._check_format(data)
-        offset = HEADER_SIZE
+        offset = FILE_HEADER_BYTES
         while offset < len(data):
-            frame = _frame_at(data, offset)
-            if frame is None or expected not in (0, frame.sequence):
-                if not is_last or _any_frame_after(data, offset + 1):
-                    raise DamagedLogError(damage(self.path, offset))
-                self._cut(offset)
+            frame = _parse_frame(data, offset)
+            if frame is None or expected_sequence not in (0, frame.sequence):
+                if not is_last or _has_frame_after(data, offset + 1):
+                    raise DamagedLogError(damage_message(self.path, offset))
+                self._truncate(offset)
                 return
             yield frame
-            expected = frame.sequence + 1
+            expected_sequence = frame.sequence + 1
             offset = frame.offset + len(frame.payload)
         self.size = offset
 
@@ -133,27 +144,27 @@
         try:
             files.write_all(self._ops, self.fd, data, self.size)
         except OSError as exc:
-            raise files.write_failure(self.path, exc) from exc
+            raise files.write_error(self.path, exc) from exc
         self.size += len(data)
 
-    def _cut(self, size: int) -> None:
+    def _truncate(self, size: int) -> None:
         os.ftruncate(self.fd, size)
         self._ops.fsync(self.fd)
         self.size = size
 
     def _check_format(self, data: memoryview) -> None:
-        if bytes(data[: len(MAGIC)]) != MAGIC:
+        if bytes(data[: len(FILE_MAGIC)]) != FILE_MAGIC:
             raise StorageError(f"{self.path}: not a segment of the log")
-        version = data[len(MAGIC)]
-        if version != VERSION:
+        version = data[len(FILE_MAGIC)]
+        if version != FORMAT_VERSION:
             raise StorageError(
                 f"{self.path}: format version {version}; this program knows"
-                f" only version {VERSION}"
+                f" only version {FORMAT_VERSION}"
             )
 
 
-def damage(path: pathlib.Path, offset: int) -> str:
-    """Returns the text of an error about damage."""
+def damage_message(path: pathlib.Path, offset: int) -> str:
+    """Returns the error message for a damaged segment."""
     return (
         f"{path}: the record at offset {offset} fails its checksum; move this"
         " data folder away, start the replica with an empty one and run"
@@ -161,12 +172,12 @@
     )
 
 
-def _frame_at(data: memoryview, offset: int) -> Frame | None:
-    """Returns the frame at `offset`, None unless it is whole."""
-    if offset + _FRAME.size > len(data):
+def _parse_frame(data: memoryview, offset: int) -> Frame | None:
+    """Returns the frame at `offset`, None if there is no valid one."""
+    if offset + _FRAME_HEADER.size > len(data):
         return None
-    mark, sequence, length, crc = _FRAME.unpack_from(data, offset)
-    start = offset + _FRAME.size
+    mark, sequence, length, crc = _FRAME_HEADER.unpack_from(data, offset)
+    start = offset + _FRAME_HEADER.size
     if mark != _FRAME_MARK or start + length > len(data):
         return None
     payload = data[start : start + length]
@@ -175,11 +186,11 @@
     return Frame(sequence, start, payload)
 
 
-def _any_frame_after(data: memoryview, offset: int) -> bool:
+def _has_frame_after(data: memoryview, offset: int) -> bool:
     rest = bytes(data[offset:])
     found = rest.find(_FRAME_MARK)
     while found >= 0:
-        if _frame_at(data, offset + found) is not None:
+        if _parse_frame(data, offset + found) is not None:
             return True
         found = rest.find(_FRAME_MARK, found + 1)
     return False
--- a/catkinpin/adapters/disk/snapshots.py
+++ b/catkinpin/adapters/disk/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshot files: the state of a group as of one index."""
+"""Snapshot files; each holds the state of a group as of one index."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 if TYPE_CHECKING:
     import pathlib
 
-MAGIC = b"CATKSNP"
-VERSION = 1
+FILE_MAGIC = b"CATKSNP"
+FORMAT_VERSION = 1
 _HEADER = struct.Struct("<7sBII")  # Magic, version, header's length, CRC-32.
 
 
 class Description(Message, frozen=True):
-    """What a snapshot file says about itself.
+    """Header of a snapshot file.
 
     Attributes:
+        group: name of the group.
         index: last index that the state covers.
-        referenced: indexes of records that must still be readable, packed.
+        term: term of the entry at `index`.
+        members: the members as of `index`.
+        referenced: indexes of the records that the state refers to, packed.
     """
 
     group: str
@@ -43,13 +46,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Snapshot:
-    """A snapshot in memory."""
+    """A snapshot in memory.
+
+    Attributes:
+        description: header of its file.
+        data: the encoded state.
+    """
 
     description: Description
     data: bytes
 
     def referenced(self) -> array.array[int]:
-        """Returns the indexes of the records that must be readable."""
+        """Returns the indexes of the records that the state refers to."""
         return unpack_indexes(self.description.referenced)
 
 
@@ -62,7 +70,7 @@
 
 
 def unpack_indexes(data: bytes) -> array.array[int]:
-    """Returns indexes that were packed."""
+    """Returns the indexes that `pack_indexes` encoded."""
     indexes = array.array("Q")
     indexes.frombytes(data)
     if sys.byteorder != "little":
@@ -70,37 +78,39 @@
     return indexes
 
 
-def path_of(folder: pathlib.Path, group: str, index: int) -> pathlib.Path:
+def snapshot_path(folder: pathlib.Path, group: str, index: int) -> pathlib.Path:
     """Returns the path of a snapshot file."""
     return folder / f"{group}-{index}.snapshot"
 
 
-def to_bytes(snapshot: Snapshot) -> bytes:
+def encode(snapshot: Snapshot) -> bytes:
     """Returns the content of a snapshot file."""
     header = codec.encode(snapshot.description)
     body = header + snapshot.data
-    start = _HEADER.pack(MAGIC, VERSION, len(header), zlib.crc32(body))
+    start = _HEADER.pack(
+        FILE_MAGIC, FORMAT_VERSION, len(header), zlib.crc32(body)
+    )
     return start + body
 
 
-def from_bytes(content: bytes, origin: str) -> Snapshot:
+def decode(content: bytes, origin: str) -> Snapshot:
     """Returns the snapshot in `content`.
 
     Args:
-        content: what a snapshot file holds.
-        origin: file or process that it came from, for the error's text.
+        content: content of a snapshot file.
+        origin: the file or replica that it came from, for error messages.
 
     Raises:
         StorageError: the format is unknown.
-        DamagedLogError: the checksum fails.
+        DamagedLogError: the checksum does not match.
     """
-    if len(content) < _HEADER.size or not content.startswith(MAGIC):
+    if len(content) < _HEADER.size or not content.startswith(FILE_MAGIC):
         raise StorageError(f"{origin}: not a snapshot")
     _, version, length, crc = _HEADER.unpack_from(content)
-    if version != VERSION:
+    if version != FORMAT_VERSION:
         raise StorageError(
             f"{origin}: format version {version}; this program knows only"
-            f" version {VERSION}"
+            f" version {FORMAT_VERSION}"
         )
     body = memoryview(content)[_HEADER.size :]
     if zlib.crc32(body) != crc:
@@ -114,30 +124,36 @@
 
 
 def write(ops: files.FileOps, folder: pathlib.Path, snapshot: Snapshot) -> None:
-    """Writes a snapshot beside the older one."""
-    described = snapshot.description
-    path = path_of(folder, described.group, described.index)
+    """Writes and syncs a snapshot file; does not remove older ones."""
+    description = snapshot.description
+    path = snapshot_path(folder, description.group, description.index)
     try:
-        files.replace(ops, path, to_bytes(snapshot))
+        files.replace_file(ops, path, encode(snapshot))
     except OSError as exc:
-        raise files.write_failure(path, exc) from exc
+        raise files.write_error(path, exc) from exc
 
 
 def read(folder: pathlib.Path, group: str, index: int) -> Snapshot:
     """Reads a snapshot file."""
-    path = path_of(folder, group, index)
+    path = snapshot_path(folder, group, index)
     try:
         content = path.read_bytes()
     except FileNotFoundError as exc:
         raise DamagedLogError(
             f"{path}: the log needs this snapshot and it is gone"
         ) from exc
-    return from_bytes(content, str(path))
+    return decode(content, str(path))
 
 
 def remove_others(folder: pathlib.Path, group: str, index: int) -> None:
-    """Removes the group's other snapshots, and what a crash left."""
-    keep = path_of(folder, group, index)
+    """Removes the group's other snapshots and the remains of a crash.
+
+    Args:
+        folder: folder of the snapshots.
+        group: name of the group.
+        index: index of the snapshot to keep.
+    """
+    kept_path = snapshot_path(folder, group, index)
     for path in folder.glob(f"{group}-*.snapshot*"):
-        if path != keep:
+        if path != kept_path:
             path.unlink()
--- a/catkinpin/adapters/disk/turnbytes.py
+++ b/catkinpin/adapters/disk/turnbytes.py
@@ -1,7 +1,7 @@
-"""Files with the bytes of turns, written once and dropped by age.
+"""Files with the bytes of turns, which are written once and expire.
 
-A turn's bytes are large and never change, so they don't go through the
-replicated log: two hosts near the caller hold them, and the log says which.
+A turn's bytes are large and never change, so they are not in the replicated
+log. Two hosts near the caller store them, and the log names these hosts.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     import pathlib
     from collections.abc import Iterable
 
-# A file goes once nothing in it is needed; small files go sooner, and each
-# costs a descriptor.
-_FILE_BYTES = 4 * 1024 * 1024
+# A file is removed once none of its turns is needed. Small files are removed
+# sooner, but each file costs a descriptor.
+_MAX_FILE_BYTES = 4 * 1024 * 1024
 # Length of the name, length of the data, CRC-32 of both.
 _HEADER = struct.Struct(">HII")
 
 
-class _Place(msgspec.Struct):
-    """Where a turn's bytes lie."""
+class _Location(msgspec.Struct):
+    """Location of a turn's bytes: file number, offset and size."""
 
     file: int
     offset: int
@@ -36,10 +36,10 @@
 
 
 class TurnBytes:
-    """The turns' bytes that this host holds.
+    """Stores the bytes of turns on this host's disk.
 
     Args:
-        folder: where the files lie.
+        folder: folder of the files.
         ops: file operations.
     """
 
@@ -48,81 +48,85 @@
     ) -> None:
         self._folder = folder
         self._ops = ops or files.FileOps()
-        self._places: dict[str, _Place] = {}
+        self._locations: dict[str, _Location] = {}
         self._fds: dict[int, int] = {}
-        self._live: dict[int, int] = {}
-        self._active = 0
-        self._size = 0
-        self._dirty = False
+        self._live_counts: dict[int, int] = {}
+        self._active_file = 0
+        self._active_size = 0
+        self._has_unsynced = False
         files.make_folder(folder)
         for path in sorted(folder.glob("*.turns")):
             self._recover(path)
-        self._next_file()
+        self._start_file()
 
     def __contains__(self, attempt: str) -> bool:
-        return attempt in self._places
+        return attempt in self._locations
 
     def attempts(self) -> list[str]:
-        """Returns the turns held."""
-        return list(self._places)
+        """Returns the attempts whose bytes are stored here."""
+        return list(self._locations)
 
     def add(self, attempt: str, data: bytes) -> None:
-        """Writes a turn's bytes; they last after the next sync.
+        """Writes a turn's bytes; the next sync makes them durable.
 
         Raises:
-            DiskFullError: they aren't here; all others are.
-            StorageError: this disk can't be trusted any more.
+            DiskFullError: the bytes were not stored; all others still are.
+            StorageError: the disk is no longer reliable.
         """
-        if attempt in self._places:
+        if attempt in self._locations:
             return
-        if self._size >= _FILE_BYTES:
+        if self._active_size >= _MAX_FILE_BYTES:
             self.sync()
-            self._next_file()
+            self._start_file()
         name = attempt.encode()
         crc = zlib.crc32(data, zlib.crc32(name))
         record = _HEADER.pack(len(name), len(data), crc) + name + data
         try:
-            fd = self._fds[self._active]
-            files.write_all(self._ops, fd, record, self._size)
+            fd = self._fds[self._active_file]
+            files.write_all(self._ops, fd, record, self._active_size)
         except OSError as exc:
-            # The next record is written over what this one left.
-            raise files.write_failure(self._folder, exc) from exc
-        offset = self._size + _HEADER.size + len(name)
-        self._size += len(record)
-        self._note(attempt, _Place(self._active, offset, len(data)))
-        self._dirty = True
+            # The next record overwrites what was written of this one.
+            raise files.write_error(self._folder, exc) from exc
+        offset = self._active_size + _HEADER.size + len(name)
+        self._active_size += len(record)
+        self._add_location(
+            attempt, _Location(self._active_file, offset, len(data))
+        )
+        self._has_unsynced = True
 
     def sync(self) -> None:
-        """Makes everything added so far last.
+        """Syncs everything added so far.
 
         Raises:
-            StorageError: it may or may not last.
+            StorageError: the added bytes may or may not be durable.
         """
-        if not self._dirty:
+        if not self._has_unsynced:
             return
         try:
-            self._ops.fdatasync(self._fds[self._active])
+            self._ops.fdatasync(self._fds[self._active_file])
         except OSError as exc:
             raise StorageError(f"{self._folder}: {exc}") from exc
-        self._dirty = False
+        self._has_unsynced = False
 
     def read(self, attempt: str) -> bytes | None:
-        """Returns a turn's bytes, None where they aren't here."""
-        place = self._places.get(attempt)
-        if place is None:
+        """Returns a turn's bytes, None if they are not stored here."""
+        location = self._locations.get(attempt)
+        if location is None:
             return None
-        return os.pread(self._fds[place.file], place.size, place.offset)
+        return os.pread(
+            self._fds[location.file], location.size, location.offset
+        )
 
     def drop(self, attempts: Iterable[str]) -> None:
-        """Forgets turns, and removes files that nothing is left in."""
+        """Drops turns, and removes files in which no turn is left."""
         for attempt in attempts:
-            place = self._places.pop(attempt, None)
-            if place is not None:
-                self._live[place.file] -= 1
-        for number, live in list(self._live.items()):
-            if not live and number != self._active:
+            location = self._locations.pop(attempt, None)
+            if location is not None:
+                self._live_counts[location.file] -= 1
+        for number, live in list(self._live_counts.items()):
+            if not live and number != self._active_file:
                 os.close(self._fds.pop(number))
-                del self._live[number]
+                del self._live_counts[number]
                 self._path(number).unlink()
 
     def close(self) -> None:
@@ -133,11 +137,13 @@
     def _path(self, number: int) -> pathlib.Path:
         return self._folder / f"{number:08}.turns"
 
-    def _note(self, attempt: str, place: _Place) -> None:
-        self._places[attempt] = place
-        self._live[place.file] = self._live.get(place.file, 0) + 1
+    def _add_location(self, attempt: str, location: _Location) -> None:
+        self._locations[attempt] = location
+        self._live_counts[location.file] = (
+            self._live_counts.get(location.file, 0) + 1
+        )
 
-    def _next_file(self) -> None:
+    def _start_file(self) -> None:
         number = max(self._fds, default=0) + 1
         path = self._path(number)
         try:
@@ -145,20 +151,20 @@
             self._fds[number] = os.open(path, flags, 0o600)
             files.sync_folder(self._ops, self._folder)
         except OSError as exc:
-            raise files.write_failure(path, exc) from exc
-        self._active = number
-        self._live[self._active] = 0
-        self._size = 0
+            raise files.write_error(path, exc) from exc
+        self._active_file = number
+        self._live_counts[self._active_file] = 0
+        self._active_size = 0
 
     def _recover(self, path: pathlib.Path) -> None:
-        """Reads a file up to the first record that is not whole.
+        """Reads a file up to the first invalid record.
 
-        After a loss of power the tail may be torn. What was acknowledged was
-        synced, so it lies before.
+        A power loss may leave a torn tail. Acknowledged records were synced, so
+        they are before it.
         """
         number = int(path.stem)
         self._fds[number] = os.open(path, os.O_RDWR)
-        self._live[number] = 0
+        self._live_counts[number] = 0
         content = path.read_bytes()
         offset = 0
         while offset + _HEADER.size <= len(content):
@@ -168,8 +174,8 @@
             if end > len(content) or zlib.crc32(content[start:end]) != crc:
                 break
             name = content[start : start + name_size].decode()
-            self._note(name, _Place(number, start + name_size, size))
+            self._add_location(name, _Location(number, start + name_size, size))
             offset = end
-        # What a killed process wrote without a sync would be gone after a
-        # loss of power, though this process now answers for it.
+        # A killed process may have written records without a sync. A power
+        # loss could still erase them, though this process offers them.
         os.fdatasync(self._fds[number])
--- a/catkinpin/adapters/replica/__init__.py
+++ b/catkinpin/adapters/replica/__init__.py
@@ -1,1 +1,1 @@
-"""The replica process: log groups, their members and hosts."""
+"""The replica process, and the nodes that run its log groups."""
--- a/catkinpin/adapters/replica/identity.py
+++ b/catkinpin/adapters/replica/identity.py
@@ -132,7 +132,7 @@
 
     def _write(self) -> None:
         try:
-            files.replace(
+            files.replace_file(
                 self._ops, self._path, msgspec.json.encode(self._content)
             )
         except OSError as exc:
--- a/catkinpin/adapters/replica/transfers.py
+++ b/catkinpin/adapters/replica/transfers.py
@@ -121,7 +121,7 @@
         content = bytes(self._data)
         self._data.clear()
         try:
-            self.snapshot = snapshots.from_bytes(content, self.sender)
+            self.snapshot = snapshots.decode(content, self.sender)
         except StorageError:
             # The sender's file is damaged; that must not stop this replica.
             log.exception("invalid snapshot", extra={"group": self._log.name})
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -171,7 +171,7 @@
         self.written(entries(1, 3))
         path = self.segment()
         content = bytearray(path.read_bytes())
-        content[len(segments.MAGIC)] = 99
+        content[len(segments.FILE_MAGIC)] = 99
         path.write_bytes(content)
         exc = self.assertRaises(StorageError, self.open)
         self.assertIn("version 99", str(exc))
--- a/tests/test_turnbytes.py
+++ b/tests/test_turnbytes.py
@@ -69,7 +69,7 @@
         Without this the disk fills, and no turn can be stored any more.
         """
         store = TurnBytes(self.folder)
-        size = turnbytes._FILE_BYTES // 4
+        size = turnbytes._MAX_FILE_BYTES // 4
         for n in range(40):
             store.add(f"t{n}", b"x" * size)
             store.sync()
