--- a/catkinpin/adapters/disk/grouplog.py
+++ b/catkinpin/adapters/disk/grouplog.py
@@ -148,13 +148,13 @@
             members: the members as of `base`.
         """
         self._storage.write_snapshot(snapshot)
-        new = Base(
+        new_base = Base(
             snapshot=snapshot.description.index,
             base=base,
             base_term=base_term,
             members=members,
         )
-        self._replace_base(new, snapshot)
+        self._replace_base(new_base, snapshot)
 
     def add_fetched(self, entry: Entry) -> None:
         """Writes a received record to which a fetched snapshot refers."""
@@ -172,14 +172,14 @@
         """
         description = snapshot.description
         self._storage.write_snapshot(snapshot)
-        new = Base(
+        new_base = Base(
             snapshot=description.index,
             base=description.index,
             base_term=description.term,
             members=description.members,
             drops_tail=not keeps_tail,
         )
-        self._replace_base(new, snapshot)
+        self._replace_base(new_base, snapshot)
 
     def load_snapshot(self) -> Snapshot | None:
         """Returns the newest snapshot, None if there is none."""
--- a/catkinpin/adapters/disk/storage.py
+++ b/catkinpin/adapters/disk/storage.py
@@ -31,7 +31,7 @@
 
 SEGMENT_BYTES = 64 * 1024 * 1024
 # A full segment is rewritten once at most this share of it is needed.
-_MAX_REWRITE_LIVE_SHARE = 0.5
+_REWRITE_MAX_LIVE_SHARE = 0.5
 
 
 class Storage:
@@ -71,7 +71,7 @@
         self._needed_counts: dict[int, int] = {}
         self._buffer = bytearray()
         self._next_sequence = 1
-        self._has_unsynced = False
+        self._has_unsynced_writes = False
         self._failure: StorageError | None = None
         self._log_folder = folder / "log"
         self._snapshot_folder = folder / "snapshots"
@@ -116,7 +116,7 @@
             raise
         self._buffer.clear()
         self._next_sequence += 1
-        self._has_unsynced = True
+        self._has_unsynced_writes = True
 
     def sync(self) -> bool:
         """Writes and syncs all added records; returns whether there were any.
@@ -128,7 +128,7 @@
                 acknowledged, and all further operations fail.
         """
         self.write()
-        if not self._has_unsynced:
+        if not self._has_unsynced_writes:
             return False
         self._sync_active()
         if self._active.size >= self._segment_bytes:
@@ -224,7 +224,7 @@
                 return
             if (
                 self._needed_counts[number]
-                <= _MAX_REWRITE_LIVE_SHARE * self._written_counts[number]
+                <= _REWRITE_MAX_LIVE_SHARE * self._written_counts[number]
             ):
                 self._rewrite_segment(number)
 
@@ -258,7 +258,7 @@
         except StorageError as exc:
             self._failure = exc
             raise
-        self._has_unsynced = False
+        self._has_unsynced_writes = False
         self.sync_count += 1
         metrics.LOG_SYNCS.inc()
 
--- a/catkinpin/adapters/disk/turnbytes.py
+++ b/catkinpin/adapters/disk/turnbytes.py
@@ -53,7 +53,7 @@
         self._live_counts: dict[int, int] = {}
         self._active_file = 0
         self._active_size = 0
-        self._has_unsynced = False
+        self._has_unsynced_writes = False
         files.make_folder(folder)
         for path in sorted(folder.glob("*.turns")):
             self._recover(path)
@@ -92,7 +92,7 @@
         self._add_location(
             attempt, _Location(self._active_file, offset, len(data))
         )
-        self._has_unsynced = True
+        self._has_unsynced_writes = True
 
     def sync(self) -> None:
         """Syncs everything added so far.
@@ -100,13 +100,13 @@
         Raises:
             StorageError: the added bytes may or may not be durable.
         """
-        if not self._has_unsynced:
+        if not self._has_unsynced_writes:
             return
         try:
             self._ops.fdatasync(self._fds[self._active_file])
         except OSError as exc:
             raise StorageError(f"{self._folder}: {exc}") from exc
-        self._has_unsynced = False
+        self._has_unsynced_writes = False
 
     def read(self, attempt: str) -> bytes | None:
         """Returns a turn's bytes, None if they are not stored here."""
--- a/catkinpin/adapters/replica/groups.py
+++ b/catkinpin/adapters/replica/groups.py
@@ -163,7 +163,7 @@
             metrics.LOG_RECORDS.inc()
             self._node.schedule_flush(self)
         else:
-            log.debug("not proposed", extra={"group": self.name})
+            log.debug("proposal dropped", extra={"group": self.name})
 
     def read(self, index: int) -> bytes:
         """Returns the payload of a record; fails the node if it can't."""
--- a/catkinpin/adapters/replica/heartbeats.py
+++ b/catkinpin/adapters/replica/heartbeats.py
@@ -21,7 +21,12 @@
     def handle_heartbeat(
         self, sender: str, heartbeat: Heartbeat, now_ms: int
     ) -> bool:
-        """Handles a heartbeat; returns whether a plain reply is due."""
+        """Handles a heartbeat.
+
+        Returns:
+            Whether the caller has to confirm it, together with those of other
+            groups. If False, the group itself replies if a reply is due.
+        """
 
     def handle_heartbeat_reply(
         self, sender: str, reply: HeartbeatReply, now_ms: int
--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -41,7 +41,7 @@
 _TICK_INTERVAL_S = 0.05
 _INTRODUCTION_INTERVAL_TICKS = 4
 _REBALANCE_INTERVAL_TICKS = 200
-# Groups that one replica may lead more than another; a transfer interrupts.
+# Groups that one replica may lead more than another; transfers cost time.
 _MAX_LED_GROUP_IMBALANCE = 2
 _TRANSFER_TIMEOUT_S = 1.5
 _MS_PER_S = 1_000
@@ -97,7 +97,7 @@
         self._on_disk_full_changed = on_disk_full_changed
         self._prerequisite_group = prerequisite_group
         self._groups_to_flush: dict[str, Group] = {}
-        # Non-empty between two events only if a full disk prevents the sync.
+        # Not empty after a flush only if a full disk prevented the sync.
         self._pending_flushes: list[_PendingFlush] = []
         self._announced_leaders: dict[str, tuple[int, str]] = {}
         self._disk_monitor = SlowDiskMonitor(on_slow_disk)
@@ -153,7 +153,7 @@
         return required is None or required is group or required.is_current()
 
     def start(self, hello: messages.Hello) -> None:
-        """Connects to the other replicas and starts to join the groups."""
+        """Connects to the other replicas and starts the founding."""
         self.storage.sync()
         self.address = hello.address
         listed = self._cfg.replicas
--- a/catkinpin/adapters/replica/slowdisk.py
+++ b/catkinpin/adapters/replica/slowdisk.py
@@ -33,7 +33,7 @@
         self._on_slow_disk = on_slow_disk
         self._sync_times = SyncTimes()
         # Last monotonic time at which this host led no group.
-        self._idle_ms = 0
+        self._last_idle_ms = 0
 
     def record(self, sync_ms: float) -> None:
         """Records how long a sync took."""
@@ -43,8 +43,8 @@
         """Transfers all groups led here if the disk is slow."""
         led = [group for group in groups if group.is_leader()]
         if not led:
-            self._idle_ms = now_ms
-        leading_ms = now_ms - self._idle_ms
+            self._last_idle_ms = now_ms
+        leading_ms = now_ms - self._last_idle_ms
         if leading_ms < _MIN_LEADING_MS or not self._sync_times.is_slow():
             return
         self._sync_times.clear_recent()
--- a/catkinpin/adapters/replica/transfers.py
+++ b/catkinpin/adapters/replica/transfers.py
@@ -92,7 +92,7 @@
         self._send(self.sender, pull)
 
     def handle_part(self, part: transport.SnapshotPart) -> bool:
-        """Stores a part; returns False if the sender has no such snapshot."""
+        """Stores a part; returns False if the snapshot is gone or invalid."""
         if part.index != self.offer.index or self.snapshot is not None:
             return True
         if part.size == 0:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas as real processes that are killed, frozen, cut off and wiped."""
+"""Replica processes that are killed, suspended, cut off or lose their disk."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 _KEY = configuration.key_digest(base.OPERATOR_KEY)
 _GROUP = "shard-0"
 _NAMES = ("replica-1", "replica-2", "replica-3")
-_CAPACITY = 8  # Of the fake service.
+_SERVICE_CAPACITY = 8  # Calls that the fake service runs at a time.
 
 
 class ReplicasTest(base.TestCase):
-    """Three replicas, an entry, and a service whose effects count."""
+    """Three replicas, an entry, and a service that counts its effects."""
 
     def start(
         self, main: Callable[[base.Cluster], Awaitable[None]], proxied: bool
     ) -> None:
-        """Runs `main` with a cluster that serves."""
+        """Runs `main` with a cluster that is ready for calls."""
 
-        async def whole() -> None:
+        async def run_cluster() -> None:
             cluster = base.Cluster(self.folder)
             async with cluster:
                 if proxied:
@@ -48,7 +48,7 @@
                 await cluster.serving("entry-1", "kiosk-app", "service")
                 await main(cluster)
 
-        self.run_async(whole())
+        self.run_async(run_cluster())
 
     async def pay(self, cluster: base.Cluster, order: str) -> None:
         """Makes a call that must not be repeated, and checks its answer."""
@@ -62,88 +62,94 @@
         self.assertEqual(200, reply.status, reply.body)
         self.assertEqual(order, reply.json["done"])
 
-    async def paid_once(self, cluster: base.Cluster, *orders: str) -> None:
-        """Checks the effects, and that a resend gets the stored answer."""
+    async def check_paid_once(
+        self, cluster: base.Cluster, *orders: str
+    ) -> None:
+        """Checks that repeated calls get an answer and ran only once."""
         for order in orders:
             await self.pay(cluster, order)
         effects = (await cluster.look("service-1"))["effects"]
         self.assertEqual([1] * len(orders), [effects[o] for o in orders])
 
     def test_leader_is_killed_during_a_call(self) -> None:
-        """The process of the shard's leader dies while a service acts.
+        """Guards against a lost or repeated call if the leader is killed.
 
-        The caller gets its answer a moment later, and nothing is done twice.
+        The shard's leader is killed while the service runs the call.
         """
 
         async def main(cluster: base.Cluster) -> None:
             await self.pay(cluster, "before")
             await cluster.steer("service-1", delay_ms=300)
             call = asyncio.create_task(self.pay(cluster, "during"))
-            await acting(cluster, "during")
+            await wait_running(cluster, "during")
             leader = await leader_of(cluster)
             cluster.processes[leader].kill()
             await call
             await cluster.steer("service-1", delay_ms=0)
             await self.pay(cluster, "after")
-            await self.paid_once(cluster, "before", "during", "after")
+            await self.check_paid_once(cluster, "before", "during", "after")
             cluster.processes[leader].start()
             await cluster.ready(leader)
 
         self.start(main, proxied=False)
 
     def test_leader_is_frozen_and_wakes(self) -> None:
-        """The host of the leader stands still for seconds, then goes on.
+        """Guards against a suspended leader that still leads once it resumes.
 
-        The others serve meanwhile; the one that wakes up decides nothing.
+        The others must serve calls meanwhile.
         """
 
         async def main(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=300)
             call = asyncio.create_task(self.pay(cluster, "during"))
-            await acting(cluster, "during")
+            await wait_running(cluster, "during")
             old = await leader_of(cluster)
             cluster.processes[old].signal(signal.SIGSTOP)
             await call
             await cluster.steer("service-1", delay_ms=0)
             await self.pay(cluster, "frozen")
-            new = await leader_of(cluster, but=old)
+            new = await leader_of(cluster, excluded=old)
             cluster.processes[old].signal(signal.SIGCONT)
             await cluster.ready(old)
             self.assertEqual(new, await leader_of(cluster))
-            await self.paid_once(cluster, "during", "frozen")
+            await self.check_paid_once(cluster, "during", "frozen")
 
         self.start(main, proxied=False)
 
     def test_call_that_waits_while_the_leader_changes(self) -> None:
-        """A call waits for a server at a leader that stands still a moment.
+        """Guards against a call that waits for a former leader.
 
-        The old leader wakes up on the same connections and has nothing to
-        tell any more. The caller must not wait for it until its deadline.
+        The call is queued at a leader that is suspended for a moment. The
+        former leader resumes on the same connections, but no longer answers
+        the call. The caller must not wait for it until the deadline.
         """
 
         async def main(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=2_500)
             calls = [
                 asyncio.create_task(self.pay(cluster, f"order-{number}"))
-                for number in range(_CAPACITY + 1)
+                for number in range(_SERVICE_CAPACITY + 1)
             ]
-            await acting(cluster, "order-0")
-            await known(cluster, _CAPACITY + 1)
+            await wait_running(cluster, "order-0")
+            await wait_known(cluster, _SERVICE_CAPACITY + 1)
             old = await leader_of(cluster)
             cluster.processes[old].signal(signal.SIGSTOP)
-            await leader_of(cluster, but=old)
+            await leader_of(cluster, excluded=old)
             cluster.processes[old].signal(signal.SIGCONT)
             await cluster.steer("service-1", delay_ms=0)
             await asyncio.wait_for(asyncio.gather(*calls), 20)
-            await self.paid_once(cluster, "order-0", f"order-{_CAPACITY}")
+            await self.check_paid_once(
+                cluster, "order-0", f"order-{_SERVICE_CAPACITY}"
+            )
 
         self.start(main, proxied=False)
 
     def test_answer_waits_until_a_quorum_has_it(self) -> None:
-        """Both other replicas stand still just when a service has acted.
+        """Guards against an answer that is sent before a quorum stored it.
 
-        The answer is on one disk only, which could be lost, so the caller does
-        not get it yet. It comes once the others go on, and nothing runs twice.
+        Both other replicas are suspended while the service runs the call. The
+        answer is then on a single disk, which could be lost. The caller must
+        get it only once the others resume, and the call must not run twice.
         """
 
         async def main(cluster: base.Cluster) -> None:
@@ -151,31 +157,31 @@
             others = [name for name in _NAMES if name != leader]
             await cluster.steer("service-1", delay_ms=300)
             call = asyncio.create_task(self.pay(cluster, "during"))
-            await acting(cluster, "during")
+            await wait_running(cluster, "during")
             for name in others:
                 cluster.processes[name].signal(signal.SIGSTOP)
 
-            async def has_lost_office() -> bool:
+            async def has_stepped_down() -> bool:
                 return not await leads(cluster, leader)
 
-            async def has_acted() -> bool:
+            async def has_answered() -> bool:
                 return bool((await cluster.look("service-1"))["running"] == 0)
 
-            await base.until(has_acted, "the service has answered")
-            await base.until(has_lost_office, "the leader lacks a quorum")
+            await base.until(has_answered, "the service to answer")
+            await base.until(has_stepped_down, "the leader to step down")
             self.assertFalse(call.done())
             for name in others:
                 cluster.processes[name].signal(signal.SIGCONT)
             await call
             await cluster.steer("service-1", delay_ms=0)
-            await self.paid_once(cluster, "during")
+            await self.check_paid_once(cluster, "during")
 
         self.start(main, proxied=False)
 
     def test_planned_stop_of_the_leader(self) -> None:
-        """An operator stops the leader's process while calls come in.
+        """Guards against failed or slow calls when the leader is stopped.
 
-        None fails, and none waits for an election timeout.
+        No call may fail or wait for an election timeout.
         """
 
         async def main(cluster: base.Cluster) -> None:
@@ -183,25 +189,25 @@
             stop = asyncio.create_task(
                 asyncio.to_thread(cluster.processes[leader].stop)
             )
-            slowest = 0.0
+            slowest_s = 0.0
             number = 0
             while not stop.done() or number < 20:
-                begun = time.monotonic()
+                start_s = time.monotonic()
                 await self.pay(cluster, f"order-{number}")
-                slowest = max(slowest, time.monotonic() - begun)
+                slowest_s = max(slowest_s, time.monotonic() - start_s)
                 number += 1
             self.assertEqual(0, await stop)
-            self.assertLess(slowest, 0.5)
+            self.assertLess(slowest_s, 0.5)
             orders = [f"order-{n}" for n in range(number)]
-            await self.paid_once(cluster, *orders)
+            await self.check_paid_once(cluster, *orders)
 
         self.start(main, proxied=False)
 
     def test_leader_hears_nothing_but_is_heard(self) -> None:
-        """What is sent to the leader's host is lost, what it sends arrives.
+        """Guards against a leader that keeps leading but receives nothing.
 
-        It would go on as leader for ever, and its callers would wait; it
-        steps down by itself and another serves them.
+        Messages to the leader's host are lost, but those that it sends arrive.
+        It must step down, or else the callers would wait forever.
         """
 
         async def main(cluster: base.Cluster) -> None:
@@ -209,18 +215,19 @@
             old = await leader_of(cluster)
             await cluster.steer(f"proxy-{old}", up_silent=True)
             await self.pay(cluster, "cut")
-            await leader_of(cluster, but=old)
+            await leader_of(cluster, excluded=old)
             await cluster.steer(f"proxy-{old}", up_silent=False)
             await cluster.ready(old)
-            await self.paid_once(cluster, "before", "cut")
+            await self.check_paid_once(cluster, "before", "cut")
 
         self.start(main, proxied=True)
 
     def test_second_host_is_lost_right_after_a_repair(self) -> None:
-        """A disk is lost and repaired, and then another host dies.
+        """Guards against a repair that reports safety too early.
 
-        The operator ran one command and read that it is safe; callers find
-        all their answers, and new calls are served.
+        A disk is lost and its replica repaired. Once the operator's command
+        reports that it is safe, another host is lost. All answers must still
+        be there, and new calls must be served.
         """
 
         async def main(cluster: base.Cluster) -> None:
@@ -228,23 +235,23 @@
             for order in orders:
                 await self.pay(cluster, order)
             lost = await leader_of(cluster)
-            wipe(cluster, lost)
+            restart_empty(cluster, lost)
             code, out = await repair(cluster, lost)
             self.assertEqual((0, True), (code, out.startswith("safe")), out)
-            taken = (self.folder / lost / "snapshots").glob(f"{_GROUP}-*")
-            self.assertTrue(list(taken))
+            snapshots = (self.folder / lost / "snapshots").glob(f"{_GROUP}-*")
+            self.assertTrue(list(snapshots))
             others = [n for n in ("replica-1", "replica-2", "replica-3")]
             others.remove(lost)
             shutil.rmtree(self.folder / others[0])
             cluster.processes[others[0]].kill()
-            await self.paid_once(cluster, *orders, "after")
+            await self.check_paid_once(cluster, *orders, "after")
 
         self.start(main, proxied=False)
 
     def test_damaged_disk_stops_only_its_replica(self) -> None:
-        """A sector of one replica's disk decays while it is down.
+        """Guards against a replica that runs with a damaged log.
 
-        It refuses to start and says what to do; the others serve.
+        It must stop with an error that says what to do; the others must serve.
         """
 
         async def main(cluster: base.Cluster) -> None:
@@ -266,13 +273,13 @@
         self.start(main, proxied=False)
 
     def test_wiped_replica_waits_for_the_operator(self) -> None:
-        """A replica starts with an empty folder, maybe by a wrong mount.
+        """Guards against a replica that participates with an empty folder.
 
-        It takes no part by itself, and its readiness says why.
+        A wrong mount can cause that. Its readiness check must say why it waits.
         """
 
         async def main(cluster: base.Cluster) -> None:
-            wipe(cluster, "replica-2")
+            restart_empty(cluster, "replica-2")
 
             async def says_why() -> bool:
                 url = f"http://{cluster.admin['replica-2']}/health/ready"
@@ -293,7 +300,7 @@
 
 
 def add_proxied_replicas(cluster: base.Cluster) -> None:
-    """Starts replicas that are reached through a proxy each."""
+    """Starts replicas that each are reached through a proxy."""
     numbers = ports.free_ports(6)
     for number in range(3):
         name = f"replica-{number + 1}"
@@ -324,22 +331,22 @@
     return f'catkinpin_group_leads{{group="{_GROUP}"}} 1.0' in text
 
 
-async def leader_of(cluster: base.Cluster, but: str = "") -> str:
-    """Waits until one replica, and not `but`, leads the shard."""
+async def leader_of(cluster: base.Cluster, excluded: str = "") -> str:
+    """Waits until one replica other than `excluded` leads the shard."""
 
     async def find() -> Any:
         found = []
         for name in _NAMES:
-            if name != but and await leads(cluster, name):
+            if name != excluded and await leads(cluster, name):
                 found.append(name)
         return found[0] if len(found) == 1 else None
 
-    leader: str = await base.until(find, f"a leader other than {but!r}")
+    leader: str = await base.until(find, f"a leader other than {excluded!r}")
     return leader
 
 
-async def acting(cluster: base.Cluster, order: str) -> None:
-    """Waits until the service acts on an order."""
+async def wait_running(cluster: base.Cluster, order: str) -> None:
+    """Waits until the service runs the call of an order."""
 
     async def check() -> bool:
         return order in (await cluster.look("service-1"))["effects"]
@@ -347,8 +354,8 @@
     await base.until(check, f"the service acts on {order}")
 
 
-async def known(cluster: base.Cluster, orders: int) -> None:
-    """Waits until the shard knows the programs of so many orders."""
+async def wait_known(cluster: base.Cluster, orders: int) -> None:
+    """Waits until the shard knows the programs of that many orders."""
     auth = {"Authorization": f"Bearer {base.ACCOUNT_KEYS['kunci']}"}
 
     async def check() -> bool:
@@ -362,7 +369,7 @@
     await base.until(check, f"{orders} programs are known")
 
 
-def wipe(cluster: base.Cluster, name: str) -> None:
+def restart_empty(cluster: base.Cluster, name: str) -> None:
     """Kills a replica and starts it on an empty data folder."""
     cluster.processes[name].kill()
     folder: pathlib.Path = cluster.folder / name
@@ -371,7 +378,7 @@
 
 
 async def repair(cluster: base.Cluster, name: str) -> tuple[int, str]:
-    """Runs the operator's command until the replica can be repaired."""
+    """Runs the operator's command until the replica accepts it."""
     command = [sys.executable, "-m", "catkinpin", "repair"]
     command += [f"http://{cluster.admin[name]}"]
     command += ["--operator-key", base.OPERATOR_KEY]
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The log on disk: crashes, damage, failing operations, kept records."""
+"""The log on disk: crashes, damage, failed operations, kept records."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def entries(first: int, last: int, term: int = 1) -> list[Entry]:
-    """Returns entries whose payloads tell index and term."""
+    """Returns entries whose payloads contain their index and term."""
     return [
         Entry(index, term, EntryKind.DATA, b"%d/%d" % (index, term) * 20)
         for index in range(first, last + 1)
@@ -31,7 +31,7 @@
 
 
 class StorageTestCase(base.TestCase):
-    """Opens storage on the test's folder, closed at the end."""
+    """Opens storage on the test's folder and closes it at the end."""
 
     def open(
         self, ops: files.FileOps | None = None, size: int = 1 << 20
@@ -45,8 +45,8 @@
             opened.close()
             opened.folder = None  # type: ignore[assignment]
 
-    def written(self, *batches: list[Entry]) -> None:
-        """Writes batches, each with a sync of its own."""
+    def write_batches(self, *batches: list[Entry]) -> None:
+        """Writes batches and syncs after each."""
         opened = self.open()
         log = opened.group_log("g")
         for batch in batches:
@@ -54,10 +54,10 @@
             opened.sync()
         self.close(opened)
 
-    def segment(self) -> pathlib.Path:
+    def newest_segment(self) -> pathlib.Path:
         return max((self.folder / "log").iterdir())
 
-    def snapshot(
+    def take_snapshot(
         self, log: GroupLog, index: int, base_index: int, refs: list[int]
     ) -> None:
         description = snapshots.Description(
@@ -71,8 +71,11 @@
         log.save_snapshot(taken, base_index, 1, Members())
 
 
-def _filling(full: list[int]) -> files.FileOps:
-    """Returns a disk that is full, half a write in, while `full` holds any."""
+def _disk_that_fills(full: list[int]) -> files.FileOps:
+    """Returns file operations of a disk that is full while `full` has items.
+
+    A write to the full disk writes half of the data and fails.
+    """
 
     def pwrite(fd: int, data: memoryview, offset: int) -> int:
         if full:
@@ -84,7 +87,7 @@
 
 
 class RecoveryTest(StorageTestCase):
-    """What is found after a stop."""
+    """Recovery of the log when storage is opened."""
 
     def test_state_and_entries_are_found_again(self) -> None:
         opened = self.open()
@@ -95,53 +98,53 @@
         opened.sync()
         self.close(opened)
         log = self.open().group_log("g")
-        found = log.stored_state(Members())
-        self.assertEqual((3, "n1"), (found.term, found.vote))
-        self.assertTrue(found.led)
+        state = log.stored_state(Members())
+        self.assertEqual((3, "n1"), (state.term, state.vote))
+        self.assertTrue(state.led)
         wanted = entries(1, 4) + entries(5, 6, term=2)
-        self.assertEqual(wanted, list(found.entries))
+        self.assertEqual(wanted, list(state.entries))
 
     def test_torn_tail_is_cut_at_every_byte(self) -> None:
-        """The host loses power while a batch is being written.
+        """Guards against a log that can't recover from a torn write.
 
-        No one was told of that batch; all before it is there, and the log
-        takes new records.
+        A power loss during a write leaves part of a batch that was never
+        acknowledged. All earlier batches must be found, and new ones accepted.
         """
-        self.written(entries(1, 3), entries(4, 5))
-        whole = self.segment().read_bytes()
-        self.written(entries(6, 8))
-        torn = self.segment().read_bytes()
-        for size in range(len(whole), len(torn)):
-            self.segment().write_bytes(torn[:size])
+        self.write_batches(entries(1, 3), entries(4, 5))
+        intact = self.newest_segment().read_bytes()
+        self.write_batches(entries(6, 8))
+        torn = self.newest_segment().read_bytes()
+        for size in range(len(intact), len(torn)):
+            self.newest_segment().write_bytes(torn[:size])
             opened = self.open()
             log = opened.group_log("g")
             self.assertEqual(5, log.last)
             self.close(opened)
-        self.written(entries(6, 6))
+        self.write_batches(entries(6, 6))
         self.assertEqual(6, self.open().group_log("g").last)
 
     def test_torn_batch_with_a_hole(self) -> None:
-        """Of an unsynced batch a later page reached the disk, a first not."""
-        self.written(entries(1, 3))
-        whole = self.segment().read_bytes()
-        self.written(entries(4, 8))
-        torn = self.segment().read_bytes()
-        hole = bytes(64) + torn[len(whole) + 64 :]
-        self.segment().write_bytes(whole + hole)
+        """Guards against a batch whose later pages alone reached the disk."""
+        self.write_batches(entries(1, 3))
+        intact = self.newest_segment().read_bytes()
+        self.write_batches(entries(4, 8))
+        torn = self.newest_segment().read_bytes()
+        hole = bytes(64) + torn[len(intact) + 64 :]
+        self.newest_segment().write_bytes(intact + hole)
         self.assertEqual(3, self.open().group_log("g").last)
 
     def test_damage_before_a_synced_batch_stops_the_replica(self) -> None:
-        """A sector of the disk decays under an acknowledged record.
+        """Guards against a truncation that silently drops synced records.
 
-        The operator reads which file, where, and what to do; cutting there
-        would lose records unseen.
+        A sector with an acknowledged record is damaged. The error must name
+        the file, the offset, and what the operator should do.
         """
-        self.written(entries(1, 3), entries(4, 5))
-        content = bytearray(self.segment().read_bytes())
+        self.write_batches(entries(1, 3), entries(4, 5))
+        content = bytearray(self.newest_segment().read_bytes())
         content[content.find(b"2/1") + 1] ^= 1
-        self.segment().write_bytes(content)
+        self.newest_segment().write_bytes(content)
         exc = self.assertRaises(DamagedLogError, self.open)
-        for part in (str(self.segment()), "offset", "catkinpin repair"):
+        for part in (str(self.newest_segment()), "offset", "catkinpin repair"):
             self.assertIn(part, str(exc))
 
     def test_damage_found_while_reading(self) -> None:
@@ -149,14 +152,14 @@
         log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
-        content = bytearray(self.segment().read_bytes())
+        content = bytearray(self.newest_segment().read_bytes())
         content[content.find(b"2/1") + 1] ^= 1
-        self.segment().write_bytes(content)
+        self.newest_segment().write_bytes(content)
         self.assertRaises(DamagedLogError, log.read, 2)
         self.assertEqual(entries(3, 3)[0], log.read(3))
 
     def test_missing_segment_stops_the_replica(self) -> None:
-        """Someone removes a file of the log by hand."""
+        """Guards against a start without a file that was removed by hand."""
         opened = self.open(size=400)
         log = opened.group_log("g")
         for index in range(1, 9):
@@ -168,8 +171,8 @@
         self.assertRaises(DamagedLogError, self.open)
 
     def test_unknown_versions_are_refused(self) -> None:
-        self.written(entries(1, 3))
-        path = self.segment()
+        self.write_batches(entries(1, 3))
+        path = self.newest_segment()
         content = bytearray(path.read_bytes())
         content[len(segments.FILE_MAGIC)] = 99
         path.write_bytes(content)
@@ -177,20 +180,20 @@
         self.assertIn("version 99", str(exc))
 
     def test_two_processes_on_one_folder(self) -> None:
-        """An operator starts a replica twice; the second one says why not."""
+        """Guards against two replicas on one folder, and an unclear error."""
         self.open()
         exc = self.assertRaises(StorageError, self.open)
         self.assertIn("another process", str(exc))
 
 
 class FailingDiskTest(StorageTestCase):
-    """A disk that is full, or that fails to sync."""
+    """Disks that are full, or that fail to sync."""
 
     def test_after_a_failed_sync_nothing_is_taken(self) -> None:
-        """The disk fails a sync, and the next one would seem to succeed.
+        """Guards against acknowledging records after a failed sync.
 
-        The operating system drops what it could not write, so the second
-        success says nothing about the first records.
+        The operating system drops the pages that it could not write. The next
+        sync succeeds although these records are lost.
         """
         broken: list[int] = []
 
@@ -200,16 +203,18 @@
                 raise OSError(errno.EIO, "input/output error")
             os.fdatasync(fd)
 
-        self.check_refuses(files.FileOps(fdatasync=fdatasync), broken)
+        self.check_refuses_after_failure(
+            files.FileOps(fdatasync=fdatasync), broken
+        )
 
     def test_on_a_full_disk_nothing_is_taken(self) -> None:
-        """The disk is full in the midst of a batch, and half of it is there.
+        """Guards against acknowledging or losing a batch on a full disk.
 
-        Nothing of it may be acknowledged. Once there is room the same batch
-        lasts, and whatever the process added meanwhile.
+        Half of the batch is written when the disk becomes full. Once there is
+        space, the whole batch must be written, and all records added since.
         """
         full: list[int] = []
-        opened = self.open(_filling(full))
+        opened = self.open(_disk_that_fills(full))
         log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
@@ -224,13 +229,16 @@
         self.assertTrue(opened.sync())
         self.assertEqual(entries(7, 7)[0], log.read(7))
         self.close(opened)
-        found = self.open().group_log("g").stored_state(Members())
-        self.assertEqual(entries(1, 7), list(found.entries))
+        state = self.open().group_log("g").stored_state(Members())
+        self.assertEqual(entries(1, 7), list(state.entries))
 
     def test_kill_on_a_full_disk_loses_nothing_that_lasted(self) -> None:
-        """The process is killed while the disk is full, half a batch on it."""
+        """Guards against losing synced records if killed on a full disk.
+
+        Half of a batch is on the disk when the process is killed.
+        """
         full: list[int] = []
-        opened = self.open(_filling(full))
+        opened = self.open(_disk_that_fills(full))
         log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
@@ -241,7 +249,7 @@
         self.assertEqual(3, self.open().group_log("g").last)
 
     def test_segment_that_finds_no_room_is_begun_later(self) -> None:
-        """The disk is full just as a segment has reached its size."""
+        """Guards against a failure if a new segment finds the disk full."""
         full: list[int] = []
 
         def pwrite(fd: int, data: memoryview, offset: int) -> int:
@@ -263,7 +271,9 @@
         self.close(opened)
         self.assertEqual(9, self.open().group_log("g").last)
 
-    def check_refuses(self, ops: files.FileOps, broken: list[int]) -> None:
+    def check_refuses_after_failure(
+        self, ops: files.FileOps, broken: list[int]
+    ) -> None:
         opened = self.open(ops)
         log = opened.group_log("g")
         log.append(entries(1, 3))
@@ -279,7 +289,7 @@
 
 
 class KeptRecordsTest(StorageTestCase):
-    """Records that a snapshot refers to outlive the log."""
+    """Records that a snapshot refers to, after the log was truncated."""
 
     def test_referenced_records_outlive_segments_and_restarts(self) -> None:
         opened = self.open(size=2_000)
@@ -289,7 +299,7 @@
             log.append(entries(first, first + 9))
             opened.sync()
             refs.append(first)
-            self.snapshot(log, first + 9, first + 5, refs)
+            self.take_snapshot(log, first + 9, first + 5, refs)
             opened.remove_unneeded_segments()
             self.assertEqual(first + 5, log.base)
         other.append(entries(1, 1))
@@ -316,10 +326,10 @@
         for first in range(1, 100, 10):
             log.append(entries(first, first + 9))
             opened.sync()
-        self.snapshot(log, 100, 100, [])
+        self.take_snapshot(log, 100, 100, [])
         opened.remove_unneeded_segments()
         self.assertEqual(["idle"], opened.oldest_segment_users())
-        self.snapshot(opened.group_log("idle"), 1, 1, [])
+        self.take_snapshot(opened.group_log("idle"), 1, 1, [])
         opened.remove_unneeded_segments()
         self.assertEqual(1, opened.segment_count())
 
@@ -346,52 +356,56 @@
         self.assertRaises(StorageError, log.read, 3)
 
     def test_crash_at_each_step_of_a_snapshot(self) -> None:
-        """The process dies between any two operations of a truncation.
+        """Guards against a crash that leaves neither the old nor new snapshot.
 
-        The old snapshot or the new one is there, and never neither.
+        The disk fails after each possible number of operations of a truncation.
         """
-        limit = 0
-        while not self.truncate(limit):
-            limit += 1
-        self.assertGreater(limit, 20)
-
-    def truncate(self, limit: int) -> bool:
-        """Truncates until the disk dies; returns whether it lasted."""
-        left = [limit]
-
-        def alive() -> None:
-            left[0] -= 1
-            if left[0] < 0:
+        max_operations = 0
+        while not self.truncate(max_operations):
+            max_operations += 1
+        self.assertGreater(max_operations, 20)
+
+    def truncate(self, max_operations: int) -> bool:
+        """Truncates a log on a disk that fails after `max_operations`.
+
+        Returns:
+            Whether the truncation was complete before the disk failed.
+        """
+        operations_left = [max_operations]
+
+        def count_operation() -> None:
+            operations_left[0] -= 1
+            if operations_left[0] < 0:
                 raise OSError(errno.EIO, "dead")
 
         def pwrite(fd: int, data: memoryview, offset: int) -> int:
-            alive()
+            count_operation()
             return os.pwrite(fd, data, offset)
 
         def sync(fd: int) -> None:
-            alive()
+            count_operation()
             os.fsync(fd)
 
         self.folder = self.folder / "next"
         self.folder.mkdir()
-        self.written(entries(1, 30))
+        self.write_batches(entries(1, 30))
         ops = files.FileOps(pwrite=pwrite, fdatasync=sync, fsync=sync)
         opened = None
         try:
             opened = self.open(ops, size=100)
             log = opened.group_log("g")
-            self.snapshot(log, 10, 10, [2])
+            self.take_snapshot(log, 10, 10, [2])
             opened.remove_unneeded_segments()
-            self.snapshot(log, 20, 18, [2, 15])
+            self.take_snapshot(log, 20, 18, [2, 15])
             opened.remove_unneeded_segments()
         except (OSError, StorageError):
             if opened is None:
                 return False
         assert opened is not None
         self.close(opened)
-        again = self.open()
-        log = again.group_log("g")
+        reopened = self.open()
+        log = reopened.group_log("g")
         self.assertEqual(30, log.last)
         self.assertEqual(entries(2, 2)[0], log.read(2))
-        self.close(again)
-        return left[0] >= 0
+        self.close(reopened)
+        return operations_left[0] >= 0
--- a/tests/test_turnbytes.py
+++ b/tests/test_turnbytes.py
@@ -1,4 +1,4 @@
-"""Turns' bytes on the disk."""
+"""The storage of turns' bytes on disk."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TurnBytesTest(testtools.TestCase):
-    """What lasts, and what goes."""
+    """Durability of turns' bytes, and removal of their files."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -25,38 +25,38 @@
         self.folder = pathlib.Path(folder.name) / "turns"
 
     def test_synced_turns_outlive_the_process(self) -> None:
-        """A store is killed after it has acknowledged turns."""
-        first = TurnBytes(self.folder)
+        """Guards against losing acknowledged turns when a process is killed."""
+        store = TurnBytes(self.folder)
         for n in range(20):
-            first.add(f"t{n}", b"x" * n)
-        first.sync()
-        again = TurnBytes(self.folder)
-        self.assertEqual(b"x" * 7, again.read("t7"))
-        self.assertEqual(20, len(again.attempts()))
-        self.assertIsNone(again.read("other"))
+            store.add(f"t{n}", b"x" * n)
+        store.sync()
+        reopened = TurnBytes(self.folder)
+        self.assertEqual(b"x" * 7, reopened.read("t7"))
+        self.assertEqual(20, len(reopened.attempts()))
+        self.assertIsNone(reopened.read("other"))
 
     def test_torn_tail_takes_nothing_before_it(self) -> None:
-        """Power goes while a turn is written.
+        """Guards against a partly written turn that is read after a power loss.
 
-        Read as it stands, half a turn would become part of a prompt.
+        Its bytes would become part of a prompt.
         """
-        first = TurnBytes(self.folder)
-        first.add("whole", b"a" * 100)
-        first.sync()
-        first.add("torn", b"b" * 100)
+        store = TurnBytes(self.folder)
+        store.add("whole", b"a" * 100)
+        store.sync()
+        store.add("torn", b"b" * 100)
         (path,) = self.folder.glob("*.turns")
         data = path.read_bytes()
         path.write_bytes(data[:-30])
-        again = TurnBytes(self.folder)
-        self.assertEqual(["whole"], again.attempts())
-        again.add("torn", b"c")
-        again.sync()
+        reopened = TurnBytes(self.folder)
+        self.assertEqual(["whole"], reopened.attempts())
+        reopened.add("torn", b"c")
+        reopened.sync()
         self.assertEqual(b"c", TurnBytes(self.folder).read("torn"))
 
     def test_damaged_record_is_not_read(self) -> None:
-        """A byte of an unsynced record is wrong after a loss of power."""
-        first = TurnBytes(self.folder)
-        first.add("a", b"a" * 50)
+        """Guards against reading an unsynced record damaged by a power loss."""
+        store = TurnBytes(self.folder)
+        store.add("a", b"a" * 50)
         (path,) = self.folder.glob("*.turns")
         data = bytearray(path.read_bytes())
         data[-1] ^= 1
@@ -64,9 +64,9 @@
         self.assertEqual([], TurnBytes(self.folder).attempts())
 
     def test_files_go_once_nothing_in_them_is_needed(self) -> None:
-        """A busy day goes on for hours on a small disk.
+        """Guards against a disk that fills up although old turns are dropped.
 
-        Without this the disk fills, and no turn can be stored any more.
+        No turn could then be stored any more.
         """
         store = TurnBytes(self.folder)
         size = turnbytes._MAX_FILE_BYTES // 4
@@ -79,7 +79,7 @@
         self.assertEqual(b"x" * size, store.read("t39"))
 
     def test_failed_sync_is_no_acknowledgement(self) -> None:
-        """A disk refuses a sync; what the file holds is not known."""
+        """Guards against acknowledging turns whose sync failed."""
 
         def fail(_: int) -> None:
             raise OSError("refused")
@@ -89,10 +89,11 @@
         self.assertRaises(StorageError, store.sync)
 
     def test_full_disk_takes_no_turn_and_loses_none(self) -> None:
-        """A disk has no room for one turn, and half of it is written.
+        """Guards against a full disk that damages stored turns or later ones.
 
-        The turns before it can still be read, also after a restart, and the
-        next one is taken once there is room.
+        Half of a turn is written when the disk becomes full. Earlier turns
+        must stay readable, also after a restart, and later ones must be
+        accepted once there is space.
         """
         full: list[int] = []
 
@@ -102,15 +103,15 @@
                 raise OSError(errno.ENOSPC, "no space left on device")
             return os.pwrite(fd, data, offset)
 
-        held = TurnBytes(self.folder, FileOps(pwrite=pwrite))
-        held.add("a", b"a" * 100)
-        held.sync()
+        store = TurnBytes(self.folder, FileOps(pwrite=pwrite))
+        store.add("a", b"a" * 100)
+        store.sync()
         full.append(1)
-        self.assertRaises(DiskFullError, held.add, "b", b"b" * 100)
-        self.assertEqual(b"a" * 100, held.read("a"))
-        self.assertIsNone(held.read("b"))
+        self.assertRaises(DiskFullError, store.add, "b", b"b" * 100)
+        self.assertEqual(b"a" * 100, store.read("a"))
+        self.assertIsNone(store.read("b"))
         full.clear()
-        held.add("c", b"c" * 40)
-        held.sync()
-        again = TurnBytes(self.folder)
-        self.assertEqual(["a", "c"], sorted(again.attempts()))
+        store.add("c", b"c" * 40)
+        store.sync()
+        reopened = TurnBytes(self.folder)
+        self.assertEqual(["a", "c"], sorted(reopened.attempts()))
