--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -54,7 +54,7 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=500)
-            leader = await test_replicas.leader_of(cluster)
+            leader = await test_replicas.wait_leader(cluster)
             call = asyncio.create_task(self.pay(cluster))
             await self.effect(cluster, "pay-1")
             cluster.processes["entry-1"].kill()
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -82,7 +82,7 @@
             await cluster.steer("service-1", delay_ms=300)
             call = asyncio.create_task(self.pay(cluster, "during"))
             await wait_running(cluster, "during")
-            leader = await leader_of(cluster)
+            leader = await wait_leader(cluster)
             cluster.processes[leader].kill()
             await call
             await cluster.steer("service-1", delay_ms=0)
@@ -103,15 +103,15 @@
             await cluster.steer("service-1", delay_ms=300)
             call = asyncio.create_task(self.pay(cluster, "during"))
             await wait_running(cluster, "during")
-            old = await leader_of(cluster)
+            old = await wait_leader(cluster)
             cluster.processes[old].signal(signal.SIGSTOP)
             await call
             await cluster.steer("service-1", delay_ms=0)
             await self.pay(cluster, "frozen")
-            new = await leader_of(cluster, excluded=old)
+            new = await wait_leader(cluster, excluded=old)
             cluster.processes[old].signal(signal.SIGCONT)
             await cluster.ready(old)
-            self.assertEqual(new, await leader_of(cluster))
+            self.assertEqual(new, await wait_leader(cluster))
             await self.check_paid_once(cluster, "during", "frozen")
 
         self.start(main, proxied=False)
@@ -132,9 +132,9 @@
             ]
             await wait_running(cluster, "order-0")
             await wait_known(cluster, _SERVICE_CAPACITY + 1)
-            old = await leader_of(cluster)
+            old = await wait_leader(cluster)
             cluster.processes[old].signal(signal.SIGSTOP)
-            await leader_of(cluster, excluded=old)
+            await wait_leader(cluster, excluded=old)
             cluster.processes[old].signal(signal.SIGCONT)
             await cluster.steer("service-1", delay_ms=0)
             await asyncio.wait_for(asyncio.gather(*calls), 20)
@@ -153,7 +153,7 @@
         """
 
         async def main(cluster: base.Cluster) -> None:
-            leader = await leader_of(cluster)
+            leader = await wait_leader(cluster)
             others = [name for name in _NAMES if name != leader]
             await cluster.steer("service-1", delay_ms=300)
             call = asyncio.create_task(self.pay(cluster, "during"))
@@ -185,7 +185,7 @@
         """
 
         async def main(cluster: base.Cluster) -> None:
-            leader = await leader_of(cluster)
+            leader = await wait_leader(cluster)
             stop = asyncio.create_task(
                 asyncio.to_thread(cluster.processes[leader].stop)
             )
@@ -212,10 +212,10 @@
 
         async def main(cluster: base.Cluster) -> None:
             await self.pay(cluster, "before")
-            old = await leader_of(cluster)
+            old = await wait_leader(cluster)
             await cluster.steer(f"proxy-{old}", up_silent=True)
             await self.pay(cluster, "cut")
-            await leader_of(cluster, excluded=old)
+            await wait_leader(cluster, excluded=old)
             await cluster.steer(f"proxy-{old}", up_silent=False)
             await cluster.ready(old)
             await self.check_paid_once(cluster, "before", "cut")
@@ -234,7 +234,7 @@
             orders = [f"order-{n}" for n in range(20)]
             for order in orders:
                 await self.pay(cluster, order)
-            lost = await leader_of(cluster)
+            lost = await wait_leader(cluster)
             restart_empty(cluster, lost)
             code, out = await repair(cluster, lost)
             self.assertEqual((0, True), (code, out.startswith("safe")), out)
@@ -331,7 +331,7 @@
     return f'catkinpin_group_leads{{group="{_GROUP}"}} 1.0' in text
 
 
-async def leader_of(cluster: base.Cluster, excluded: str = "") -> str:
+async def wait_leader(cluster: base.Cluster, excluded: str = "") -> str:
     """Waits until one replica other than `excluded` leads the shard."""
 
     async def find() -> Any:
