--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The log on disk: crashes, damage, failing operations, kept records."""
+"""The log on disk: crashes, damage, failed operations, kept records."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def entries(first: int, last: int, term: int = 1) -> list[Entry]:
-    """Returns entries whose payloads tell index and term."""
+    """Returns entries whose payloads contain their index and term."""
     return [
         Entry(index, term, EntryKind.DATA, b"%d/%d" % (index, term) * 20)
         for index in range(first, last + 1)
@@ -31,7 +31,7 @@
 
 
 class StorageTestCase(base.TestCase):
-    """Opens storage on the test's folder, closed at the end."""
+    """Opens storage on the test's folder and closes it at the end."""
 
     def open(
         self, ops: files.FileOps | None = None, size: int = 1 << 20
@@ -45,19 +45,19 @@
             opened.close()
             opened.folder = None  # type: ignore[assignment]
 
-    def written(self, *batches: list[Entry]) -> None:
-        """Writes batches, each with a sync of its own."""
+    def write_batches(self, *batches: list[Entry]) -> None:
+        """Writes batches and syncs after each."""
         opened = self.open()
-        log = opened.group("g")
+        log = opened.group_log("g")
         for batch in batches:
             log.append(batch)
             opened.sync()
         self.close(opened)
 
-    def segment(self) -> pathlib.Path:
+    def newest_segment(self) -> pathlib.Path:
         return max((self.folder / "log").iterdir())
 
-    def snapshot(
+    def take_snapshot(
         self, log: GroupLog, index: int, base_index: int, refs: list[int]
     ) -> None:
         description = snapshots.Description(
@@ -65,14 +65,17 @@
             index=index,
             term=1,
             members=Members(),
-            referenced=snapshots.pack(array.array("Q", refs)),
+            referenced=snapshots.pack_indexes(array.array("Q", refs)),
         )
         taken = snapshots.Snapshot(description, b"state at %d" % index)
         log.save_snapshot(taken, base_index, 1, Members())
 
 
-def _filling(full: list[int]) -> files.FileOps:
-    """Returns a disk that is full, half a write in, while `full` holds any."""
+def _disk_that_fills(full: list[int]) -> files.FileOps:
+    """Returns file operations of a disk that is full while `full` has items.
+
+    A write to the full disk writes half of the data and fails.
+    """
 
     def pwrite(fd: int, data: memoryview, offset: int) -> int:
         if full:
@@ -84,81 +87,81 @@
 
 
 class RecoveryTest(StorageTestCase):
-    """What is found after a stop."""
+    """Recovery of the log when storage is opened."""
 
     def test_state_and_entries_are_found_again(self) -> None:
         opened = self.open()
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.save_state(3, "n1", led=True)
         log.append(entries(1, 9))
         log.append(entries(5, 6, term=2))
         opened.sync()
         self.close(opened)
-        log = self.open().group("g")
-        found = log.stored(Members())
-        self.assertEqual((3, "n1"), (found.term, found.vote))
-        self.assertTrue(found.led)
+        log = self.open().group_log("g")
+        state = log.stored_state(Members())
+        self.assertEqual((3, "n1"), (state.term, state.vote))
+        self.assertTrue(state.led)
         wanted = entries(1, 4) + entries(5, 6, term=2)
-        self.assertEqual(wanted, list(found.entries))
+        self.assertEqual(wanted, list(state.entries))
 
     def test_torn_tail_is_cut_at_every_byte(self) -> None:
-        """The host loses power while a batch is being written.
+        """Guards against a log that can't recover from a torn write.
 
-        No one was told of that batch; all before it is there, and the log
-        takes new records.
+        A power loss during a write leaves part of a batch that was never
+        acknowledged. All earlier batches must be found, and new ones accepted.
         """
-        self.written(entries(1, 3), entries(4, 5))
-        whole = self.segment().read_bytes()
-        self.written(entries(6, 8))
-        torn = self.segment().read_bytes()
-        for size in range(len(whole), len(torn)):
-            self.segment().write_bytes(torn[:size])
+        self.write_batches(entries(1, 3), entries(4, 5))
+        intact = self.newest_segment().read_bytes()
+        self.write_batches(entries(6, 8))
+        torn = self.newest_segment().read_bytes()
+        for size in range(len(intact), len(torn)):
+            self.newest_segment().write_bytes(torn[:size])
             opened = self.open()
-            log = opened.group("g")
+            log = opened.group_log("g")
             self.assertEqual(5, log.last)
             self.close(opened)
-        self.written(entries(6, 6))
-        self.assertEqual(6, self.open().group("g").last)
+        self.write_batches(entries(6, 6))
+        self.assertEqual(6, self.open().group_log("g").last)
 
     def test_torn_batch_with_a_hole(self) -> None:
-        """Of an unsynced batch a later page reached the disk, a first not."""
-        self.written(entries(1, 3))
-        whole = self.segment().read_bytes()
-        self.written(entries(4, 8))
-        torn = self.segment().read_bytes()
-        hole = bytes(64) + torn[len(whole) + 64 :]
-        self.segment().write_bytes(whole + hole)
-        self.assertEqual(3, self.open().group("g").last)
+        """Guards against a batch whose later pages alone reached the disk."""
+        self.write_batches(entries(1, 3))
+        intact = self.newest_segment().read_bytes()
+        self.write_batches(entries(4, 8))
+        torn = self.newest_segment().read_bytes()
+        hole = bytes(64) + torn[len(intact) + 64 :]
+        self.newest_segment().write_bytes(intact + hole)
+        self.assertEqual(3, self.open().group_log("g").last)
 
     def test_damage_before_a_synced_batch_stops_the_replica(self) -> None:
-        """A sector of the disk decays under an acknowledged record.
+        """Guards against a truncation that silently drops synced records.
 
-        The operator reads which file, where, and what to do; cutting there
-        would lose records unseen.
+        A sector with an acknowledged record is damaged. The error must name
+        the file, the offset, and what the operator should do.
         """
-        self.written(entries(1, 3), entries(4, 5))
-        content = bytearray(self.segment().read_bytes())
+        self.write_batches(entries(1, 3), entries(4, 5))
+        content = bytearray(self.newest_segment().read_bytes())
         content[content.find(b"2/1") + 1] ^= 1
-        self.segment().write_bytes(content)
+        self.newest_segment().write_bytes(content)
         exc = self.assertRaises(DamagedLogError, self.open)
-        for part in (str(self.segment()), "offset", "catkinpin repair"):
+        for part in (str(self.newest_segment()), "offset", "catkinpin repair"):
             self.assertIn(part, str(exc))
 
     def test_damage_found_while_reading(self) -> None:
         opened = self.open()
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
-        content = bytearray(self.segment().read_bytes())
+        content = bytearray(self.newest_segment().read_bytes())
         content[content.find(b"2/1") + 1] ^= 1
-        self.segment().write_bytes(content)
+        self.newest_segment().write_bytes(content)
         self.assertRaises(DamagedLogError, log.read, 2)
         self.assertEqual(entries(3, 3)[0], log.read(3))
 
     def test_missing_segment_stops_the_replica(self) -> None:
-        """Someone removes a file of the log by hand."""
+        """Guards against a start without a file that was removed by hand."""
         opened = self.open(size=400)
-        log = opened.group("g")
+        log = opened.group_log("g")
         for index in range(1, 9):
             log.append(entries(index, index))
             opened.sync()
@@ -168,29 +171,29 @@
         self.assertRaises(DamagedLogError, self.open)
 
     def test_unknown_versions_are_refused(self) -> None:
-        self.written(entries(1, 3))
-        path = self.segment()
+        self.write_batches(entries(1, 3))
+        path = self.newest_segment()
         content = bytearray(path.read_bytes())
-        content[len(segments.MAGIC)] = 99
+        content[len(segments.FILE_MAGIC)] = 99
         path.write_bytes(content)
         exc = self.assertRaises(StorageError, self.open)
         self.assertIn("version 99", str(exc))
 
     def test_two_processes_on_one_folder(self) -> None:
-        """An operator starts a replica twice; the second one says why not."""
+        """Guards against two replicas on one folder, and an unclear error."""
         self.open()
         exc = self.assertRaises(StorageError, self.open)
         self.assertIn("another process", str(exc))
 
 
 class FailingDiskTest(StorageTestCase):
-    """A disk that is full, or that fails to sync."""
+    """Disks that are full, or that fail to sync."""
 
     def test_after_a_failed_sync_nothing_is_taken(self) -> None:
-        """The disk fails a sync, and the next one would seem to succeed.
+        """Guards against acknowledging records after a failed sync.
 
-        The operating system drops what it could not write, so the second
-        success says nothing about the first records.
+        The operating system drops the pages that it could not write. The next
+        sync succeeds although these records are lost.
         """
         broken: list[int] = []
 
@@ -200,17 +203,19 @@
                 raise OSError(errno.EIO, "input/output error")
             os.fdatasync(fd)
 
-        self.check_refuses(files.FileOps(fdatasync=fdatasync), broken)
+        self.check_refuses_after_failure(
+            files.FileOps(fdatasync=fdatasync), broken
+        )
 
     def test_on_a_full_disk_nothing_is_taken(self) -> None:
-        """The disk is full in the midst of a batch, and half of it is there.
+        """Guards against acknowledging or losing a batch on a full disk.
 
-        Nothing of it may be acknowledged. Once there is room the same batch
-        lasts, and whatever the process added meanwhile.
+        Half of the batch is written when the disk becomes full. Once there is
+        space, the whole batch must be written, and all records added since.
         """
         full: list[int] = []
-        opened = self.open(_filling(full))
-        log = opened.group("g")
+        opened = self.open(_disk_that_fills(full))
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
         full.append(1)
@@ -224,24 +229,27 @@
         self.assertTrue(opened.sync())
         self.assertEqual(entries(7, 7)[0], log.read(7))
         self.close(opened)
-        found = self.open().group("g").stored(Members())
-        self.assertEqual(entries(1, 7), list(found.entries))
+        state = self.open().group_log("g").stored_state(Members())
+        self.assertEqual(entries(1, 7), list(state.entries))
 
     def test_kill_on_a_full_disk_loses_nothing_that_lasted(self) -> None:
-        """The process is killed while the disk is full, half a batch on it."""
+        """Guards against losing synced records if killed on a full disk.
+
+        Half of a batch is on the disk when the process is killed.
+        """
         full: list[int] = []
-        opened = self.open(_filling(full))
-        log = opened.group("g")
+        opened = self.open(_disk_that_fills(full))
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
         full.append(1)
         log.append(entries(4, 6))
         self.assertRaises(DiskFullError, opened.sync)
         self.close(opened)
-        self.assertEqual(3, self.open().group("g").last)
+        self.assertEqual(3, self.open().group_log("g").last)
 
     def test_segment_that_finds_no_room_is_begun_later(self) -> None:
-        """The disk is full just as a segment has reached its size."""
+        """Guards against a failure if a new segment finds the disk full."""
         full: list[int] = []
 
         def pwrite(fd: int, data: memoryview, offset: int) -> int:
@@ -250,22 +258,24 @@
             return os.pwrite(fd, data, offset)
 
         opened = self.open(files.FileOps(pwrite=pwrite), size=300)
-        log = opened.group("g")
+        log = opened.group_log("g")
         full.append(1)
         for index in range(1, 9):
             log.append(entries(index, index))
             self.assertTrue(opened.sync())
-        self.assertEqual(1, opened.count())
+        self.assertEqual(1, opened.segment_count())
         full.clear()
         log.append(entries(9, 9))
         opened.sync()
-        self.assertEqual(2, opened.count())
+        self.assertEqual(2, opened.segment_count())
         self.close(opened)
-        self.assertEqual(9, self.open().group("g").last)
+        self.assertEqual(9, self.open().group_log("g").last)
 
-    def check_refuses(self, ops: files.FileOps, broken: list[int]) -> None:
+    def check_refuses_after_failure(
+        self, ops: files.FileOps, broken: list[int]
+    ) -> None:
         opened = self.open(ops)
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
         broken.append(1)
@@ -275,26 +285,26 @@
         self.assertRaises(StorageError, opened.sync)
         self.assertRaises(StorageError, log.append, entries(5, 5))
         self.close(opened)
-        self.assertIn(self.open().group("g").last, (3, 4))
+        self.assertIn(self.open().group_log("g").last, (3, 4))
 
 
 class KeptRecordsTest(StorageTestCase):
-    """Records that a snapshot refers to outlive the log."""
+    """Records that a snapshot refers to, after the log was truncated."""
 
     def test_referenced_records_outlive_segments_and_restarts(self) -> None:
         opened = self.open(size=2_000)
-        log, other = opened.group("g"), opened.group("other")
+        log, other = opened.group_log("g"), opened.group_log("other")
         refs: list[int] = []
         for first in range(1, 200, 10):
             log.append(entries(first, first + 9))
             opened.sync()
             refs.append(first)
-            self.snapshot(log, first + 9, first + 5, refs)
-            opened.collect()
+            self.take_snapshot(log, first + 9, first + 5, refs)
+            opened.remove_unneeded_segments()
             self.assertEqual(first + 5, log.base)
         other.append(entries(1, 1))
         opened.sync()
-        count = opened.count()
+        count = opened.segment_count()
         self.assertLess(count, 12)
         for _ in range(2):
             for index in refs:
@@ -303,95 +313,99 @@
             self.assertEqual(entries(200, 200)[0], log.read(200))
             self.close(opened)
             opened = self.open(size=2_000)
-            log = opened.group("g")
-        self.assertEqual(1, opened.group("other").last)
+            log = opened.group_log("g")
+        self.assertEqual(1, opened.group_log("other").last)
         taken = log.load_snapshot()
         assert taken is not None
         self.assertEqual(b"state at 200", taken.data)
 
     def test_idle_group_is_named_for_what_it_pins(self) -> None:
         opened = self.open(size=2_000)
-        opened.group("idle").append(entries(1, 1))
-        log = opened.group("g")
+        opened.group_log("idle").append(entries(1, 1))
+        log = opened.group_log("g")
         for first in range(1, 100, 10):
             log.append(entries(first, first + 9))
             opened.sync()
-        self.snapshot(log, 100, 100, [])
-        opened.collect()
-        self.assertEqual(["idle"], opened.pinning())
-        self.snapshot(opened.group("idle"), 1, 1, [])
-        opened.collect()
-        self.assertEqual(1, opened.count())
+        self.take_snapshot(log, 100, 100, [])
+        opened.remove_unneeded_segments()
+        self.assertEqual(["idle"], opened.oldest_segment_users())
+        self.take_snapshot(opened.group_log("idle"), 1, 1, [])
+        opened.remove_unneeded_segments()
+        self.assertEqual(1, opened.segment_count())
 
     def test_snapshot_of_another_replica(self) -> None:
         opened = self.open()
-        log = opened.group("g")
+        log = opened.group_log("g")
         log.append(entries(1, 3))
         opened.sync()
-        log.keep(entries(20, 20)[0])
+        log.add_fetched(entries(20, 20)[0])
         description = snapshots.Description(
             group="g",
             index=50,
             term=4,
             members=Members(),
-            referenced=snapshots.pack(array.array("Q", [20])),
+            referenced=snapshots.pack_indexes(array.array("Q", [20])),
         )
         log.install(snapshots.Snapshot(description, b"s"), keeps_tail=False)
         log.append(entries(51, 52, term=4))
         opened.sync()
         self.close(opened)
-        log = self.open().group("g")
+        log = self.open().group_log("g")
         self.assertEqual((50, 4, 52), (log.base, log.base_term, log.last))
         self.assertEqual(entries(20, 20)[0], log.read(20))
         self.assertRaises(StorageError, log.read, 3)
 
     def test_crash_at_each_step_of_a_snapshot(self) -> None:
-        """The process dies between any two operations of a truncation.
+        """Guards against a crash that leaves neither the old nor new snapshot.
 
-        The old snapshot or the new one is there, and never neither.
+        The disk fails after each possible number of operations of a truncation.
         """
-        limit = 0
-        while not self.truncate(limit):
-            limit += 1
-        self.assertGreater(limit, 20)
-
-    def truncate(self, limit: int) -> bool:
-        """Truncates until the disk dies; returns whether it lasted."""
-        left = [limit]
-
-        def alive() -> None:
-            left[0] -= 1
-            if left[0] < 0:
+        max_operations = 0
+        while not self.truncate(max_operations):
+            max_operations += 1
+        self.assertGreater(max_operations, 20)
+
+    def truncate(self, max_operations: int) -> bool:
+        """Truncates a log on a disk that fails after `max_operations`.
+
+        Returns:
+            Whether the truncation was complete before the disk failed.
+        """
+        operations_left = [max_operations]
+
+        def count_operation() -> None:
+            operations_left[0] -= 1
+            if operations_left[0] < 0:
                 raise OSError(errno.EIO, "dead")
 
         def pwrite(fd: int, data: memoryview, offset: int) -> int:
-            alive()
+            count_operation()
             return os.pwrite(fd, data, offset)
 
         def sync(fd: int) -> None:
-            alive()
+            count_operation()
             os.fsync(fd)
 
         self.folder = self.folder / "next"
         self.folder.mkdir()
-        self.written(entries(1, 30))
+        self.write_batches(entries(1, 30))
         ops = files.FileOps(pwrite=pwrite, fdatasync=sync, fsync=sync)
         opened = None
         try:
             opened = self.open(ops, size=100)
-            log = opened.group("g")
-            self.snapshot(log, 10, 10, [2])
-            opened.collect()
-            self.snapshot(log, 20, 18, [2, 15])
-            opened.collect()
+            log = opened.group_log("g")
+            self.take_snapshot(log, 10, 10, [2])
+            opened.remove_unneeded_segments()
+            self.take_snapshot(log, 20, 18, [2, 15])
+            opened.remove_unneeded_segments()
         except (OSError, StorageError):
             if opened is None:
                 return False
         assert opened is not None
         self.close(opened)
-        again = self.open()
-        log = again.group("g")
+        reopened = self.open()
+        log = reopened.group_log("g")
         self.assertEqual(30, log.last)
         self.assertEqual(entries(2, 2)[0], log.read(2))
-        self.close(again)
-        return left[0] >= 0
+        self.close(reopened)
+        return operations_left[0] >= 0
