--- a/catkinpin/adapters/entry/relays.py
+++ b/catkinpin/adapters/entry/relays.py
@@ -133,7 +133,7 @@
         if history.known:
             body = chat.without_messages(body, history.known)
         message = messages.Dispatch(
-            ask=links.next_ask(),
+            ask=links.next_ask_id(),
             grant=msgspec.structs.replace(grant, history=[]),
             kind=req.kind,
             method=req.method,
@@ -185,7 +185,7 @@
                 return
             prompt = [*held, *chat.raw_messages(body)]
             body = chat.with_messages(body, prompt)
-        grant = streams.received_grant(message.grant, stream)
+        grant = streams.with_local_expiry(message.grant, stream)
         if self._dispatcher.grants.knows(grant.attempt):
             metrics.DROPPED_ANSWERS.inc()
             return
--- a/catkinpin/adapters/entry/shards.py
+++ b/catkinpin/adapters/entry/shards.py
@@ -100,7 +100,7 @@
         if link is None:
             text = f"no leader of {group} is known"
             raise PeerLostError(text, sent=False)
-        ask = links.next_ask()
+        ask = links.next_ask_id()
         self._asked[ask] = (group, link)
         try:
             reply = await link.ask(make(ask), left)
@@ -122,7 +122,7 @@
         """
         for ask, (asked, link) in list(self._asked.items()):
             if asked == group:
-                link.give_up(ask)
+                link.abandon_ask(ask)
 
     def _handle(self, message: Any) -> None:
         if isinstance(message, messages.GroupLeader):
--- a/catkinpin/adapters/gateway/crashes.py
+++ b/catkinpin/adapters/gateway/crashes.py
@@ -5,7 +5,7 @@
 import hashlib
 from typing import TYPE_CHECKING
 
-from catkinpin.adapters.tasks import Tasks
+from catkinpin.adapters.tasks import BackgroundTasks
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -48,7 +48,7 @@
     ) -> None:
         self._turns = turns
         self._is_alive = is_alive
-        self._tasks = Tasks()
+        self._tasks = BackgroundTasks()
 
     def suspect(self, work: Work, choice: Choice) -> None:
         """Looks whether a server that broke off has ended; reports it then."""
--- a/catkinpin/adapters/gateway/process.py
+++ b/catkinpin/adapters/gateway/process.py
@@ -152,7 +152,7 @@
             task.cancel()
         await self.keepers.stop()
 
-    def reconfigured(self, seeds: list[str]) -> None:
+    def set_seeds(self, seeds: list[str]) -> None:
         """Takes other seeds while it runs."""
         decisions.note("reload", "", seeds=seeds)
         self.keepers.add(seeds)
@@ -195,7 +195,7 @@
         responder.answer(503 if self.not_ready() else 200)
 
     def _count_gateways(self) -> int:
-        return self.keepers.gateways() or self.cfg.gateways_expected
+        return self.keepers.gateway_count() or self.cfg.gateways_expected
 
     def _limits(self) -> ServerLimits:
         table = self.view.table
--- a/catkinpin/adapters/gateway/turns.py
+++ b/catkinpin/adapters/gateway/turns.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from catkinpin import decisions
-from catkinpin.adapters.tasks import Tasks
+from catkinpin.adapters.tasks import BackgroundTasks
 from catkinpin.core.control import copies, protocol
 from catkinpin.core.control.ledger import Begin, Denial, Finish
 from catkinpin.core.placement.placer import PlaceTurn, TurnReport
@@ -147,7 +147,7 @@
         self._keepers = keepers
         self._region = region
         self._cache = _Cache(cache_bytes)
-        self._tasks = Tasks()
+        self._tasks = BackgroundTasks()
         self._next = 0
         # Until when holders that were slow are asked last, by identity.
         self._avoided: dict[str, float] = {}
--- a/catkinpin/adapters/keeper/asks.py
+++ b/catkinpin/adapters/keeper/asks.py
@@ -7,7 +7,7 @@
 from msgspec import structs
 
 from catkinpin import exits
-from catkinpin.adapters.keeper.host import NotLeading
+from catkinpin.adapters.keeper.host import Undecided
 from catkinpin.core.control import protocol, routes
 from catkinpin.exceptions import StorageError
 
@@ -64,7 +64,7 @@
             match message:
                 case protocol.AskBegin():
                     began = await self._turn_requests.begin(message)
-                    if isinstance(began, NotLeading):
+                    if isinstance(began, Undecided):
                         self._reply(stream, message.ask, began)
                     else:
                         stream.send(began)
@@ -92,7 +92,7 @@
                     name = stream.hello.process if stream.hello else ""
                     update = self._turn_requests.report_use(message, name)
                     self._publish_unresponsive()
-                    if isinstance(update, NotLeading):
+                    if isinstance(update, Undecided):
                         self._reply(stream, message.ask, update)
                     else:
                         stream.send(update)
@@ -125,17 +125,17 @@
         out = await self._copy_repair.register(message.store)
         if out is True:
             self._publisher.info()
-        failed = out if isinstance(out, NotLeading) else None
+        failed = out if isinstance(out, Undecided) else None
         self._reply(stream, message.ask, failed)
 
     async def _answer_retire(
         self, stream: links.Stream, message: protocol.AskRetire
     ) -> None:
-        if not self._host.may_decide():
-            self._reply(stream, message.ask, NotLeading("not the leader"))
+        if not self._host.holds_lease():
+            self._reply(stream, message.ask, Undecided("not the leader"))
             return
         out = await self.retire(message.name, begin=message.begin)
-        if isinstance(out, NotLeading):
+        if isinstance(out, Undecided):
             self._reply(stream, message.ask, out)
         else:
             stream.send(structs.replace(out, ask=message.ask))
@@ -143,8 +143,8 @@
     def _send_current(
         self, stream: links.Stream, message: protocol.AskCurrent
     ) -> None:
-        if message.from_leader and not self._host.may_decide():
-            self._reply(stream, message.ask, NotLeading("not the leader"))
+        if message.from_leader and not self._host.holds_lease():
+            self._reply(stream, message.ask, Undecided("not the leader"))
             return
         routing = self._host.state.routing
         if routing is not None and not message.from_leader:
@@ -152,7 +152,7 @@
         stream.send(protocol.Current(ask=message.ask, routing=routing))
 
     def _reply(
-        self, stream: links.Stream, ask: int, failed: NotLeading | None
+        self, stream: links.Stream, ask: int, failed: Undecided | None
     ) -> None:
         if failed is None:
             stream.send(protocol.Done(ask=ask))
@@ -165,7 +165,7 @@
 
     async def retire(
         self, name: str, *, begin: bool
-    ) -> protocol.Retirement | NotLeading:
+    ) -> protocol.Retirement | Undecided:
         """Has a store emptied where this keeper leads."""
         out = await self._copy_repair.retire(name, begin=begin)
         if begin:
--- a/catkinpin/adapters/keeper/host.py
+++ b/catkinpin/adapters/keeper/host.py
@@ -35,7 +35,7 @@
 _MAX_EXPOSED = 20
 
 
-class NotLeading:
+class Undecided:
     """Sentinel: this keeper can't decide; the record may or may not last.
 
     Attributes:
@@ -50,7 +50,7 @@
 class _Waiting:
     """A record that was proposed here and is not applied yet."""
 
-    fut: asyncio.Future[Outcome | NotLeading]
+    fut: asyncio.Future[Outcome | Undecided]
 
 
 class KeeperHost:
@@ -127,7 +127,7 @@
             version=self.state.version,
         )
         if leading:
-            self.quotas.count_expected(self.log_ms())
+            self.quotas.count_expected(self.log_time_ms())
         else:
             metrics.QUOTA_USED.clear()
             self._give_up("another leads")
@@ -171,7 +171,7 @@
 
     def count_use(self, use: AccountUse) -> None:
         """Counts plain requests, to be logged with others."""
-        self.quotas.count_use(use, self.log_ms())
+        self.quotas.count_use(use, self.log_time_ms())
         self._unlogged[use.account] = use.plus(self._unlogged.get(use.account))
 
     async def log_use(self, wait_s: float) -> None:
@@ -180,9 +180,9 @@
         uses, self._unlogged = list(self._unlogged.values()), {}
         if not uses:
             return
-        body = state.CountUse(uses=uses, at_ms=self.log_ms())
+        body = state.CountUse(uses=uses, at_ms=self.log_time_ms())
         out = await self.propose(body, wait_s)
-        if isinstance(out, NotLeading):
+        if isinstance(out, Undecided):
             decisions.note("use-unlogged", "", reason=out.reason)
 
     def _expose_use(self) -> None:
@@ -192,24 +192,24 @@
         for use in uses[:_MAX_EXPOSED]:
             metrics.QUOTA_USED.labels(use.account).set(use.used_share)
 
-    def log_ms(self) -> int:
+    def log_time_ms(self) -> int:
         """Returns the log's time, which only rises, over all leaders."""
         return self._log_base_ms + self._clock.now_ms() - self._led_since_ms
 
-    def may_decide(self) -> bool:
+    def holds_lease(self) -> bool:
         """Returns whether this keeper leads under a lease now."""
         return self.leading and self.group.is_leader()
 
-    async def propose(self, body: Any, wait_s: float) -> Outcome | NotLeading:
+    async def propose(self, body: Any, wait_s: float) -> Outcome | Undecided:
         """Has a record committed and applied.
 
         Returns:
             What it brought about; or why that is not known.
         """
-        if not self.may_decide():
-            return NotLeading("not the leader")
+        if not self.holds_lease():
+            return Undecided("not the leader")
         tag = next(self._tags)
-        fut: asyncio.Future[Outcome | NotLeading]
+        fut: asyncio.Future[Outcome | Undecided]
         fut = asyncio.get_running_loop().create_future()
         self._waiting[tag] = _Waiting(fut)
         record = state.Record(tag=tag, body=body)
@@ -218,32 +218,32 @@
             async with asyncio.timeout(wait_s):
                 out = await fut
         except TimeoutError:
-            return NotLeading("no quorum in time")
+            return Undecided("no quorum in time")
         finally:
             self._waiting.pop(tag, None)
         # Applied, but by whom? A leader that was frozen meanwhile would speak
         # for a state that another has changed.
-        if isinstance(out, Outcome) and not self.may_decide():
-            return NotLeading("the lease ran out")
+        if isinstance(out, Outcome) and not self.holds_lease():
+            return Undecided("the lease ran out")
         return out
 
     async def set_routing(
         self, routing: PackedRouting, wait_s: float
-    ) -> NotLeading | None:
+    ) -> Undecided | None:
         """Puts a document in force; one that is not newer changes nothing."""
-        if not self.may_decide():
-            return NotLeading("not the leader")
+        if not self.holds_lease():
+            return Undecided("not the leader")
         if routing.version <= self.state.version:
             return None
         out = await self.propose(state.SetRouting(routing=routing), wait_s)
-        return out if isinstance(out, NotLeading) else None
+        return out if isinstance(out, Undecided) else None
 
     async def announce(
         self, instance: Instance, wait_s: float
-    ) -> NotLeading | None:
+    ) -> Undecided | None:
         """Handles a server's announcement; returns once it is committed."""
-        if not self.may_decide():
-            return NotLeading("not the leader")
+        if not self.holds_lease():
+            return Undecided("not the leader")
         self._last_seen_ms[instance.id] = self._clock.now_ms()
         if instance.state is ServerState.GONE:
             last_seen = self._last_sequence.get(instance.id, 0)
@@ -255,7 +255,7 @@
         if not self.state.fleet.would_change(instance):
             return None
         out = await self.propose(state.Announce(instance=instance), wait_s)
-        if isinstance(out, NotLeading):
+        if isinstance(out, Undecided):
             return out
         decisions.note(
             "server",
@@ -270,14 +270,14 @@
 
     async def report_crash(
         self, content: str, server: str, wait_s: float
-    ) -> NotLeading | None:
+    ) -> Undecided | None:
         """Notes that a server crashed while it ran a request.
 
         One crash may be chance. With the second the content is quarantined:
         its caller sends it again, and each time it would cost a server.
         """
-        if not self.may_decide():
-            return NotLeading("not the leader")
+        if not self.holds_lease():
+            return Undecided("not the leader")
         digest = bytes.fromhex(content)
         self._quarantine.add_strike(
             digest, server, server, self._clock.now_ms()
@@ -296,7 +296,7 @@
         if not quarantined:
             return None
         out = await self.propose(state.Quarantine(contents=quarantined), wait_s)
-        return out if isinstance(out, NotLeading) else None
+        return out if isinstance(out, Undecided) else None
 
     def silent_servers(self) -> list[Instance]:
         """Returns servers that were silent for too long, as lost.
@@ -326,5 +326,5 @@
     def _give_up(self, reason: str) -> None:
         for waiting in self._waiting.values():
             if not waiting.fut.done():
-                waiting.fut.set_result(NotLeading(reason))
+                waiting.fut.set_result(Undecided(reason))
         self._waiting.clear()
--- a/catkinpin/adapters/keeper/process.py
+++ b/catkinpin/adapters/keeper/process.py
@@ -12,14 +12,14 @@
 from catkinpin.adapters.http.server import HttpServer
 from catkinpin.adapters.keeper import host, publisher, repair
 from catkinpin.adapters.keeper.asks import Asks
-from catkinpin.adapters.keeper.host import NotLeading
+from catkinpin.adapters.keeper.host import Undecided
 from catkinpin.adapters.keeper.turns import TurnRequests
 from catkinpin.adapters.peers import keepers, links
 from catkinpin.adapters.replica import mesh, node, transport
 from catkinpin.adapters.replica.config import NodeConfig
 from catkinpin.adapters.replica.founding import Joining
 from catkinpin.adapters.store.turnserver import TurnServer
-from catkinpin.adapters.tasks import Tasks
+from catkinpin.adapters.tasks import BackgroundTasks
 from catkinpin.core import messages
 from catkinpin.core.consensus.state import Timing
 from catkinpin.core.control import protocol, routes
@@ -102,7 +102,7 @@
             link="from-keeper",
         )
         self._http = HttpServer(control(self))
-        self._tasks = Tasks()
+        self._tasks = BackgroundTasks()
         self._turns = TurnServer(self.bytes, self.others, exits.stop_at_once)
         self._publisher = publisher.Publisher(
             cfg, self.node, self.host, self._peers
@@ -187,7 +187,7 @@
         await self._peers.stop()
         self.bytes.close()
 
-    def reconfigured(self, seeds: list[str]) -> None:
+    def set_seeds(self, seeds: list[str]) -> None:
         """Takes other seeds while it runs."""
         decisions.note("reload", "", seeds=seeds)
         self.others.add(seeds)
@@ -232,16 +232,16 @@
         )
         return why
 
-    async def current_routing(self) -> Routing | NotLeading | None:
+    async def current_routing(self) -> Routing | Undecided | None:
         """Returns the newest routes that were acknowledged."""
         packed = self.host.state.routing
-        if not self.host.may_decide():
+        if not self.host.holds_lease():
             try:
                 reply = await self.others.ask_leader(
                     lambda ask: protocol.AskCurrent(ask=ask), _COMMIT_S
                 )
             except PeerLostError as exc:
-                return NotLeading(str(exc))
+                return Undecided(str(exc))
             packed = reply.routing
         return routes.unpack(packed) if packed is not None else None
 
@@ -273,9 +273,9 @@
 
     async def retire(
         self, name: str, *, begin: bool
-    ) -> protocol.Retirement | NotLeading:
+    ) -> protocol.Retirement | Undecided:
         """Has a store emptied, or returns how far that is."""
-        if self.host.may_decide():
+        if self.host.holds_lease():
             return await self._asks.retire(name, begin=begin)
         try:
             reply: protocol.Retirement = await self.others.ask_leader(
@@ -283,7 +283,7 @@
                 _COMMIT_S,
             )
         except PeerLostError as exc:
-            return NotLeading(str(exc))
+            return Undecided(str(exc))
         return reply
 
     # Changes that others must hear of.
@@ -325,7 +325,7 @@
                 self._was_current = current
                 self._publisher.info()
                 self._publisher.routing()
-            if not self.host.may_decide():
+            if not self.host.holds_lease():
                 continue
             for gone in self.host.silent_servers():
                 self._tasks.spawn(self.host.announce(gone, _COMMIT_S))
--- a/catkinpin/adapters/keeper/repair.py
+++ b/catkinpin/adapters/keeper/repair.py
@@ -11,7 +11,7 @@
 from msgspec import structs
 
 from catkinpin import decisions
-from catkinpin.adapters.keeper.host import NotLeading
+from catkinpin.adapters.keeper.host import Undecided
 from catkinpin.adapters.store.turnserver import COPY_S
 from catkinpin.core.control import copies, protocol
 from catkinpin.core.control.ledger import Moved
@@ -83,22 +83,22 @@
 
     # Stores.
 
-    async def register(self, store: Store) -> NotLeading | bool:
+    async def register(self, store: Store) -> Undecided | bool:
         """Counts a store from now on; returns whether that is news."""
-        if not self._host.may_decide():
-            return NotLeading("not the leader")
+        if not self._host.holds_lease():
+            return Undecided("not the leader")
         self._last_seen_ms[store.node] = self._clock.now_ms()
         if not self._host.state.stores.would_change(store):
             return False
         out = await self._host.propose(Register(store=store), self._commit_s)
-        if isinstance(out, NotLeading):
+        if isinstance(out, Undecided):
             return out
         decisions.note("store", "", store=store.name, address=store.address)
         return True
 
     async def retire(
         self, name: str, *, begin: bool
-    ) -> protocol.Retirement | NotLeading:
+    ) -> protocol.Retirement | Undecided:
         """Has a store emptied, or returns how far that is; only the leader."""
         stores = self._host.state.stores
         store = stores.find(name)
@@ -108,7 +108,7 @@
             if stores.count_without(name) < self._cfg.copies:
                 return _retirement(too_few=True)
             out = await self._host.propose(Retire(name=name), self._commit_s)
-            if isinstance(out, NotLeading):
+            if isinstance(out, Undecided):
                 return out
             decisions.note("retire", "", store=name)
         return _retirement(is_empty=self._is_empty(store))
--- a/catkinpin/adapters/keeper/serverupdates.py
+++ b/catkinpin/adapters/keeper/serverupdates.py
@@ -64,7 +64,7 @@
     def tick(self) -> None:
         """Sends all servers to slow gateways that have caught up."""
         self._behind &= set(self._gateways())
-        for stream in [one for one in self._behind if not one.queued]:
+        for stream in [one for one in self._behind if not one.queue_length]:
             self._behind.discard(stream)
             self.send_all(stream)
 
@@ -76,7 +76,7 @@
             )
         )
         for stream in self._gateways():
-            if stream.queued >= _MAX_QUEUED:
+            if stream.queue_length >= _MAX_QUEUED:
                 self._behind.add(stream)
             if stream not in self._behind:
                 stream.send_encoded(update)
--- a/catkinpin/adapters/keeper/turns.py
+++ b/catkinpin/adapters/keeper/turns.py
@@ -9,7 +9,7 @@
 from msgspec import structs
 
 from catkinpin import decisions
-from catkinpin.adapters.keeper.host import NotLeading
+from catkinpin.adapters.keeper.host import Undecided
 from catkinpin.core.control import protocol
 from catkinpin.core.control.ledger import Denial
 from catkinpin.core.placement.placer import Placer
@@ -49,14 +49,14 @@
 
     async def begin(
         self, message: protocol.AskBegin
-    ) -> protocol.Began | NotLeading:
+    ) -> protocol.Began | Undecided:
         """Begins a turn and names a server for it."""
-        begin = structs.replace(message.begin, at_ms=self._host.log_ms())
+        begin = structs.replace(message.begin, at_ms=self._host.log_time_ms())
         retry_ms = self._admit(begin)
         if retry_ms:
             return self._over_quota(message.ask, begin, retry_ms)
         out = await self._host.propose(begin, self._commit_s)
-        if isinstance(out, NotLeading):
+        if isinstance(out, Undecided):
             return out
         placed = "" if out.denial else self._place(message, out.server)
         return protocol.Began(
@@ -68,13 +68,13 @@
             placed=placed,
         )
 
-    async def finish(self, message: protocol.AskFinish) -> NotLeading | None:
+    async def finish(self, message: protocol.AskFinish) -> Undecided | None:
         """Settles a turn."""
-        finish = structs.replace(message.finish, at_ms=self._host.log_ms())
+        finish = structs.replace(message.finish, at_ms=self._host.log_time_ms())
         now_ms = self._clock.now_ms()
         self._placer.finish(finish.attempt, message.report, now_ms)
         out = await self._host.propose(finish, self._commit_s)
-        return out if isinstance(out, NotLeading) else None
+        return out if isinstance(out, Undecided) else None
 
     def unresponsive(self, gateways: int) -> list[str]:
         """Returns plain servers that several gateways find unresponsive."""
@@ -82,16 +82,16 @@
 
     def report_use(
         self, message: protocol.ReportUse, gateway: str
-    ) -> protocol.QuotaUpdate | NotLeading:
+    ) -> protocol.QuotaUpdate | Undecided:
         """Counts plain requests; returns which accounts get none served."""
-        if not self._host.may_decide():
-            return NotLeading("not the leader")
+        if not self._host.holds_lease():
+            return Undecided("not the leader")
         self._unresponsive.report(
             gateway, message.unresponsive, self._clock.now_ms()
         )
         for use in message.uses:
             self._host.count_use(use)
-        throttled = self._host.quotas.throttled(self._host.log_ms())
+        throttled = self._host.quotas.throttled(self._host.log_time_ms())
         return protocol.QuotaUpdate(
             ask=message.ask, over=throttled.over, spent=throttled.spent
         )
@@ -109,7 +109,7 @@
 
     def _admit(self, begin: Begin) -> int:
         """Returns in how many ms a turn fits its quota; counts it if now."""
-        if not begin.account or not self._host.may_decide():
+        if not begin.account or not self._host.holds_lease():
             return 0
         ledger = self._host.state.ledger
         if ledger.knows_turn(begin.attempt):
--- a/catkinpin/adapters/peers/keepers.py
+++ b/catkinpin/adapters/peers/keepers.py
@@ -117,7 +117,7 @@
         """Peer address of the leader, empty where not known."""
         return self._leader
 
-    def gateways(self) -> int:
+    def gateway_count(self) -> int:
         """Returns how many gateways the keepers know; 0 at first."""
         counts = [h.info.gateways for h in self.connected() if h.info]
         return max(counts, default=0)
@@ -148,7 +148,7 @@
         Raises:
             PeerLostError: no reply came; the keeper may or may not have acted.
         """
-        return await host.link.ask(make(links.next_ask()), wait_s)
+        return await host.link.ask(make(links.next_ask_id()), wait_s)
 
     async def ask_leader(
         self, make: Callable[[int], Any], wait_s: float
@@ -188,7 +188,7 @@
         next one reveals it. Waiting on would cost each turn under way the
         rest of one ask's time on top of the election.
         """
-        number = links.next_ask()
+        number = links.next_ask_id()
         host.asks.add(number)
         try:
             return await host.link.ask(make(number), wait_s)
@@ -200,7 +200,7 @@
         for address, host in self._hosts.items():
             if address != self._leader:
                 for number in host.asks:
-                    host.link.give_up(number)
+                    host.link.abandon_ask(number)
 
     def _handle(self, address: str, message: Any) -> None:
         host = self._hosts.get(address)
--- a/catkinpin/adapters/peers/links.py
+++ b/catkinpin/adapters/peers/links.py
@@ -239,7 +239,7 @@
             self._asks.pop(message.ask, None)
             self._asked_ms.pop(message.ask, None)
 
-    def give_up(self, ask: int) -> None:
+    def abandon_ask(self, ask: int) -> None:
         """Ends the wait for a reply, as if the stream had broken."""
         fut = self._asks.get(ask)
         if fut is not None and not fut.done():
@@ -298,7 +298,7 @@
             return
         if isinstance(message, messages.Granted):
             asked_ms = self._asked_ms.get(message.ask, 0)
-            message = streams.received_grant(message, stream, asked_ms)
+            message = streams.with_local_expiry(message, stream, asked_ms)
         fut = self._asks.get(getattr(message, "ask", 0))
         if fut is not None and not isinstance(message, messages.Chunk):
             if not fut.done():
@@ -351,6 +351,6 @@
 _asks = itertools.count(1)
 
 
-def next_ask() -> int:
+def next_ask_id() -> int:
     """Returns a number that correlates a message with its reply."""
     return next(_asks)
--- a/catkinpin/adapters/peers/streams.py
+++ b/catkinpin/adapters/peers/streams.py
@@ -119,7 +119,7 @@
         self._wake.set()
 
     @property
-    def queued(self) -> int:
+    def queue_length(self) -> int:
         """How many messages wait; a reader that is slow lets them pile up."""
         return len(self._outbox)
 
@@ -190,7 +190,7 @@
     return int(time.monotonic() * _MS_PER_S)
 
 
-def received_grant(
+def with_local_expiry(
     grant: messages.Granted, stream: Stream, asked_ms: int = 0
 ) -> messages.Granted:
     """Returns a grant with its expiry on our own monotonic clock.
--- a/catkinpin/adapters/running.py
+++ b/catkinpin/adapters/running.py
@@ -37,7 +37,7 @@
 _MS = 1_000
 
 
-class Reloading(Protocol):
+class ReloadableProcess(Protocol):
     """A process that takes other seeds while it runs."""
 
     async def start(self) -> None:
@@ -46,7 +46,7 @@
     async def stop(self) -> None:
         """Finishes what is in flight and closes."""
 
-    def reconfigured(self, seeds: list[str]) -> None:
+    def set_seeds(self, seeds: list[str]) -> None:
         """Takes other seeds."""
 
 
@@ -102,7 +102,7 @@
 
 def _run(
     cfg: RoleSettings,
-    make: Callable[[], Reloading],
+    make: Callable[[], ReloadableProcess],
     read_seeds: Callable[[], list[str]],
 ) -> None:
     logging.basicConfig(level=logging.WARNING, stream=sys.stderr)
@@ -118,7 +118,7 @@
 
 async def _serve(
     cfg: RoleSettings,
-    make: Callable[[], Reloading],
+    make: Callable[[], ReloadableProcess],
     read_seeds: Callable[[], list[str]],
 ) -> None:
     loop = asyncio.get_running_loop()
@@ -129,14 +129,14 @@
     if cfg.metrics_listen:
         await HttpServer(_answer_metrics).start(cfg.metrics_listen)
     await process.start()
-    reload = Reload(process, cfg.seeds, read_seeds)
-    loop.add_signal_handler(signal.SIGHUP, reload.now)
+    reloader = SeedReloader(process, cfg.seeds, read_seeds)
+    loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     while not stop.is_set():
         try:
             async with asyncio.timeout(_SETTINGS_EVERY_S):
                 await stop.wait()
         except TimeoutError:
-            reload.now()
+            reloader.reload()
     try:
         async with asyncio.timeout(cfg.stop_timeout_ms / _MS):
             await process.stop()
@@ -153,7 +153,7 @@
     responder.answer(200, headers, metrics.exposition())
 
 
-class Reload:
+class SeedReloader:
     """Takes seeds that have changed; a file that can't be read changes none.
 
     Args:
@@ -164,7 +164,7 @@
 
     def __init__(
         self,
-        process: Reloading,
+        process: ReloadableProcess,
         seeds: list[str],
         read_seeds: Callable[[], list[str]],
     ) -> None:
@@ -172,7 +172,7 @@
         self._read_seeds = read_seeds
         self._seeds = seeds
 
-    def now(self) -> None:
+    def reload(self) -> None:
         """Reads the settings again."""
         try:
             seeds = self._read_seeds()
@@ -181,4 +181,4 @@
             return
         if seeds != self._seeds:
             self._seeds = seeds
-            self._process.reconfigured(seeds)
+            self._process.set_seeds(seeds)
--- a/catkinpin/adapters/store/process.py
+++ b/catkinpin/adapters/store/process.py
@@ -14,7 +14,7 @@
 from catkinpin.adapters.peers import keepers, links
 from catkinpin.adapters.replica.identity import Identity
 from catkinpin.adapters.store.turnserver import TurnServer
-from catkinpin.adapters.tasks import Tasks
+from catkinpin.adapters.tasks import BackgroundTasks
 from catkinpin.core import messages
 from catkinpin.core.control import protocol
 from catkinpin.core.control.stores import Store as StoreInfo
@@ -65,7 +65,7 @@
         self._peers = links.PeerServer(
             protocol.ToKeeper, self._on_message, lambda _: None, link="store"
         )
-        self._tasks = Tasks()
+        self._tasks = BackgroundTasks()
 
     async def start(self) -> None:
         """Listens and registers with the keepers."""
@@ -89,7 +89,7 @@
         await self._peers.stop()
         self._turns.data.close()
 
-    def reconfigured(self, seeds: list[str]) -> None:
+    def set_seeds(self, seeds: list[str]) -> None:
         """Takes other seeds while it runs."""
         decisions.note("reload", "", seeds=seeds)
         self.keepers.add(seeds)
--- a/catkinpin/adapters/tasks.py
+++ b/catkinpin/adapters/tasks.py
@@ -12,7 +12,7 @@
 log = logging.getLogger(__name__)
 
 
-class Tasks:
+class BackgroundTasks:
     """Tasks in the background; one that fails says so in the log.
 
     The loop holds tasks only weakly: one that nobody keeps may vanish in the
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -99,7 +99,7 @@
         read: list[Any] = []
         self._announce(_SERVERS)
         self.updates.tick()
-        self.assertLess(slow.queued, _SERVERS // _RECORDS_A_SYNC)
+        self.assertLess(slow.queue_length, _SERVERS // _RECORDS_A_SYNC)
         read += slow.read()
         self.updates.tick()
         read += slow.read()
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -183,7 +183,7 @@
     async def stop(self) -> None:
         """Closes."""
 
-    def reconfigured(self, seeds: list[str]) -> None:
+    def set_seeds(self, seeds: list[str]) -> None:
         """Takes other seeds."""
         self.seeds = seeds
 
@@ -194,6 +194,8 @@
     def test_seeds_that_changed_during_the_start_are_taken(self) -> None:
         """Guards against seeds that are read anew but never handed over."""
         process = _Process()
-        reload = running.Reload(process, ["127.0.0.1:1"], lambda: _NEW_SEEDS)
-        reload.now()
+        reloader = running.SeedReloader(
+            process, ["127.0.0.1:1"], lambda: _NEW_SEEDS
+        )
+        reloader.reload()
         self.assertEqual(_NEW_SEEDS, process.seeds)
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from catkinpin.adapters.tasks import Tasks
+from catkinpin.adapters.tasks import BackgroundTasks
 from tests import base
 
 
@@ -18,7 +18,7 @@
             raise ValueError("broken")
 
         async def main() -> None:
-            tasks = Tasks()
+            tasks = BackgroundTasks()
             tasks.spawn(fails())
             self.assertEqual(1, len(tasks))
             await asyncio.sleep(0)
@@ -31,7 +31,7 @@
 
     def test_cancelled_work_is_no_failure(self) -> None:
         async def main() -> None:
-            tasks = Tasks()
+            tasks = BackgroundTasks()
             waiting = tasks.spawn(asyncio.sleep(60))
             await asyncio.sleep(0)
             tasks.cancel()
--- a/tests/test_turnrequests.py
+++ b/tests/test_turnrequests.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from catkinpin import clock
-from catkinpin.adapters.keeper.host import NotLeading
+from catkinpin.adapters.keeper.host import Undecided
 from catkinpin.adapters.keeper.turns import TurnRequests
 from catkinpin.core.control import protocol
 from catkinpin.core.control.accounts import ClientAccount, Quota
@@ -36,14 +36,14 @@
         self.state = types.SimpleNamespace(fleet=Fleet(), ledger=Ledger())
         self.quotas = Quotas(QuotaTolerance())
         self.counted: list[str] = []
-        self.out: Outcome | NotLeading = Outcome()
+        self.out: Outcome | Undecided = Outcome()
         for number in range(4):
             self.state.fleet.apply(instance(f"s{number}"))
 
-    def log_ms(self) -> int:
+    def log_time_ms(self) -> int:
         return 1
 
-    def may_decide(self) -> bool:
+    def holds_lease(self) -> bool:
         return True
 
     def count_turn(self, begin: Begin) -> None:
@@ -53,7 +53,7 @@
     def count_use(self, use: AccountUse) -> None:
         self.quotas.count_use(use, 1)
 
-    async def propose(self, body: Any, wait_s: float) -> Outcome | NotLeading:
+    async def propose(self, body: Any, wait_s: float) -> Outcome | Undecided:
         return self.out
 
 
@@ -130,13 +130,13 @@
 
     def test_keeper_that_does_not_lead_names_no_server(self) -> None:
         """Guards against two leaders that place by halves of the truth."""
-        self.host.out = NotLeading("not the leader")
-        self.assertIsInstance(self._begin(_ask("t")), NotLeading)
+        self.host.out = Undecided("not the leader")
+        self.assertIsInstance(self._begin(_ask("t")), Undecided)
 
     def test_finish_that_is_not_committed_still_frees_its_server(self) -> None:
         """Guards against servers that seem full after a lost quorum."""
         names = [self._begin(_ask(f"t{n}")).placed for n in range(4)]
-        self.host.out = NotLeading("no quorum in time")
+        self.host.out = Undecided("no quorum in time")
         for number in range(4):
             asyncio.run(self.requests.finish(_finish(f"t{number}")))
         self.host.out = Outcome()
