--- a/catkinpin/adapters/keeper/__init__.py
+++ b/catkinpin/adapters/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""The keeper process: the control group and what it publishes."""
+"""The keeper process: the control group, its requests and publications."""
--- a/catkinpin/adapters/keeper/asks.py
+++ b/catkinpin/adapters/keeper/asks.py
@@ -1,4 +1,4 @@
-"""Answers what gateways, stores and other keepers ask a keeper."""
+"""Answers the requests of gateways, stores and other keepers."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
     from catkinpin.clock import Clock
 
 
-# Gateways are told again of servers that are still unresponsive.
-_REPEAT_MS = 500
+# Interval at which unresponsive servers are published again while they stay so.
+_REPUBLISH_INTERVAL_MS = 500
 
 
-class Asks:
-    """Answers through the part that is asked.
+class AskHandler:
+    """Passes each request to the component that answers it.
 
     Args:
-        host: the control group's state, and how this keeper decides.
-        publisher: publishes what changes.
+        host: proposes records to the control group.
+        publisher: publishes changes to the connected processes.
         turn_requests: begins and settles turns, and counts quotas.
         copy_repair: registers and empties stores.
-        turns: turns' bytes held here.
-        clock: time.
-        commit_s: longest wait for a quorum.
+        turn_server: serves the turns' bytes stored here.
+        clock: the time source.
+        commit_timeout_s: longest wait for a quorum.
     """
 
     def __init__(
@@ -44,22 +44,25 @@
         publisher: Publisher,
         turn_requests: TurnRequests,
         copy_repair: CopyRepair,
-        turns: TurnServer,
+        turn_server: TurnServer,
         clock: Clock,
-        commit_s: float,
+        commit_timeout_s: float,
     ) -> None:
         self._host = host
         self._publisher = publisher
         self._turn_requests = turn_requests
         self._copy_repair = copy_repair
-        self._turns = turns
+        self._turn_server = turn_server
         self._clock = clock
-        self._commit_s = commit_s
-        self._unresponsive: list[str] = []
-        self._published_ms = 0
+        self._commit_timeout_s = commit_timeout_s
+        self._last_unresponsive: list[str] = []
+        self._last_published_ms = 0
 
     async def answer(self, stream: links.Stream, message: Any) -> None:
-        """Answers what a gateway, a store or another keeper asks."""
+        """Answers a request of a gateway, a store or another keeper.
+
+        A storage error ends the process.
+        """
         try:
             match message:
                 case protocol.AskBegin():
@@ -69,25 +72,29 @@
                     else:
                         stream.send(began)
                 case protocol.AskFinish():
-                    done = await self._turn_requests.finish(message)
-                    self._reply(stream, message.ask, done)
+                    undecided = await self._turn_requests.finish(message)
+                    self._reply(stream, message.ask, undecided)
                 case protocol.AskRouting():
                     routing = message.routing
-                    done = await self._host.set_routing(routing, self._commit_s)
-                    self._reply(stream, message.ask, done)
+                    undecided = await self._host.set_routing(
+                        routing, self._commit_timeout_s
+                    )
+                    self._reply(stream, message.ask, undecided)
                 case protocol.AskAnnounce():
                     instance = message.instance
-                    done = await self._host.announce(instance, self._commit_s)
-                    self._reply(stream, message.ask, done)
+                    undecided = await self._host.announce(
+                        instance, self._commit_timeout_s
+                    )
+                    self._reply(stream, message.ask, undecided)
                 case protocol.AskCurrent():
                     self._send_current(stream, message)
                 case protocol.AskRegister():
                     await self._register(stream, message)
                 case protocol.ReportCrash():
-                    done = await self._host.report_crash(
-                        message.content, message.server, self._commit_s
+                    undecided = await self._host.report_crash(
+                        message.content, message.server, self._commit_timeout_s
                     )
-                    self._reply(stream, message.ask, done)
+                    self._reply(stream, message.ask, undecided)
                 case protocol.ReportUse():
                     name = stream.hello.process if stream.hello else ""
                     update = self._turn_requests.report_use(message, name)
@@ -99,34 +106,39 @@
                 case protocol.AskRetire():
                     await self._answer_retire(stream, message)
                 case protocol.Put():
-                    self._turns.put(stream, message)
+                    self._turn_server.put(stream, message)
                 case protocol.Get():
-                    self._turns.get(stream, message)
+                    self._turn_server.get(stream, message)
                 case protocol.CopyTurns():
-                    await self._turns.copy_turns(stream, message)
+                    await self._turn_server.copy_turns(stream, message)
         except StorageError as exc:
             exits.stop_at_once(exc)
 
     def _publish_unresponsive(self) -> None:
-        """Tells all gateways of unresponsive servers, again while they are."""
-        servers = self._turn_requests.unresponsive(self._publisher.gateways())
+        """Publishes the unresponsive servers when they change.
+
+        While any remain, it publishes them again at an interval.
+        """
+        servers = self._turn_requests.unresponsive_servers(
+            self._publisher.gateway_count()
+        )
         now_ms = self._clock.now_ms()
         if servers and (
-            servers != self._unresponsive
-            or now_ms - self._published_ms > _REPEAT_MS
+            servers != self._last_unresponsive
+            or now_ms - self._last_published_ms > _REPUBLISH_INTERVAL_MS
         ):
-            self._published_ms = now_ms
-            self._publisher.unresponsive(servers)
-        self._unresponsive = servers
+            self._last_published_ms = now_ms
+            self._publisher.publish_unresponsive(servers)
+        self._last_unresponsive = servers
 
     async def _register(
         self, stream: links.Stream, message: protocol.AskRegister
     ) -> None:
-        out = await self._copy_repair.register(message.store)
-        if out is True:
-            self._publisher.info()
-        failed = out if isinstance(out, Undecided) else None
-        self._reply(stream, message.ask, failed)
+        outcome = await self._copy_repair.register(message.store)
+        if outcome is True:
+            self._publisher.publish_info()
+        undecided = outcome if isinstance(outcome, Undecided) else None
+        self._reply(stream, message.ask, undecided)
 
     async def _answer_retire(
         self, stream: links.Stream, message: protocol.AskRetire
@@ -134,11 +146,11 @@
         if not self._host.holds_lease():
             self._reply(stream, message.ask, Undecided("not the leader"))
             return
-        out = await self.retire(message.name, begin=message.begin)
-        if isinstance(out, Undecided):
-            self._reply(stream, message.ask, out)
+        outcome = await self.retire(message.name, begin=message.begin)
+        if isinstance(outcome, Undecided):
+            self._reply(stream, message.ask, outcome)
         else:
-            stream.send(structs.replace(out, ask=message.ask))
+            stream.send(structs.replace(outcome, ask=message.ask))
 
     def _send_current(
         self, stream: links.Stream, message: protocol.AskCurrent
@@ -152,22 +164,25 @@
         stream.send(protocol.Current(ask=message.ask, routing=routing))
 
     def _reply(
-        self, stream: links.Stream, ask: int, failed: Undecided | None
+        self, stream: links.Stream, ask: int, undecided: Undecided | None
     ) -> None:
-        if failed is None:
+        if undecided is None:
             stream.send(protocol.Done(ask=ask))
             return
         stream.send(
             protocol.Refused(
-                ask=ask, reason=failed.reason, leader=self._host.group.leader
+                ask=ask, reason=undecided.reason, leader=self._host.group.leader
             )
         )
 
     async def retire(
         self, name: str, *, begin: bool
     ) -> protocol.Retirement | Undecided:
-        """Has a store emptied where this keeper leads."""
-        out = await self._copy_repair.retire(name, begin=begin)
+        """Begins to empty a store, or only returns how far that is.
+
+        Only the leader may call it.
+        """
+        outcome = await self._copy_repair.retire(name, begin=begin)
         if begin:
-            self._publisher.info()
-        return out
+            self._publisher.publish_info()
+        return outcome
--- a/catkinpin/adapters/keeper/host.py
+++ b/catkinpin/adapters/keeper/host.py
@@ -1,8 +1,8 @@
-"""A keeper's side of the control group: decides where it leads, else says who.
+"""Applies the control group's log on a keeper, and proposes records to it.
 
-Only the leader answers what others rely on: whether a turn may begin, that a
-routing document is in force, or that an announcement lasts. It answers once
-a quorum has the record, and only while it holds its lease.
+Only the leader confirms what other processes rely on: that a turn may begin,
+that a routing document is in force, that an announcement is committed. It
+confirms after a quorum has the record, and only while it holds its lease.
 """
 
 from __future__ import annotations
@@ -31,15 +31,17 @@
 log = logging.getLogger(__name__)
 
 
-# Accounts among the metrics, which hold a line for each.
-_MAX_EXPOSED = 20
+# The metrics have one line per account, for at most so many accounts.
+_MAX_EXPOSED_ACCOUNTS = 20
 
 
 class Undecided:
-    """Sentinel: this keeper can't decide; the record may or may not last.
+    """Result of a proposal whose outcome this keeper does not know.
+
+    The record may or may not be committed.
 
     Attributes:
-        reason: why, for the log.
+        reason: why the outcome is unknown.
     """
 
     def __init__(self, reason: str) -> None:
@@ -47,25 +49,32 @@
 
 
 @dataclasses.dataclass
-class _Waiting:
-    """A record that was proposed here and is not applied yet."""
+class _PendingProposal:
+    """A record that this keeper proposed and has not applied yet."""
 
     fut: asyncio.Future[Outcome | Undecided]
 
 
 class KeeperHost:
-    """Drives `ControlState` by the control group's log.
+    """Applies the control group's log to a `ControlState`.
 
     Args:
-        clock: time.
-        identity: who this keeper is, new for each new data folder.
-        incarnation: of this process; makes tags unique.
-        silent_server_ms: a server silent for so long is gone.
-        tolerance: how exactly quotas of client accounts must hold.
-        changed: called after each change that gateways must learn of.
+        clock: the time source.
+        incarnation: of this process; makes the tags of its proposals unique.
+        silent_server_ms: a server that does not announce itself for so long
+            counts as lost.
+        tolerance: how exactly the quotas of client accounts must hold.
+        on_routing_changed: called after each change of the routes.
+        on_servers_changed: called with the servers that changed.
+        on_turns_expired: called with the attempts that expired.
+        on_quarantined: called with the contents that were quarantined.
 
     Attributes:
+        state: the replicated state.
         quotas: what client accounts have used of their quotas.
+        group: this keeper's replica of the control group; set by the caller
+            before the first record is applied.
+        leading: whether this keeper leads the group.
     """
 
     def __init__(
@@ -74,51 +83,57 @@
         incarnation: str,
         silent_server_ms: int,
         tolerance: QuotaTolerance,
-        on_routing: Callable[[], None],
-        on_fleet: Callable[[list[Instance]], None],
-        on_expired: Callable[[list[str]], None],
+        on_routing_changed: Callable[[], None],
+        on_servers_changed: Callable[[list[Instance]], None],
+        on_turns_expired: Callable[[list[str]], None],
         on_quarantined: Callable[[list[str]], None],
     ) -> None:
         self.state = state.ControlState(
-            self._routing_changed, on_fleet, on_expired, on_quarantined
+            self._handle_routing_change,
+            on_servers_changed,
+            on_turns_expired,
+            on_quarantined,
         )
         self.quotas = Quotas(tolerance)
-        self._on_routing = on_routing
+        self._on_routing_changed = on_routing_changed
         self._packed_accounts = b""
-        self._unlogged: dict[str, AccountUse] = {}
+        self._uncommitted_use: dict[str, AccountUse] = {}
         self._quarantine = Quarantine()
         self.group: Group
         self.leading = False
         self._clock = clock
         self._silent_server_ms = silent_server_ms
         self._tags = (f"{incarnation}.{n}" for n in itertools.count())
-        self._waiting: dict[str, _Waiting] = {}
-        self._last_seen_ms: dict[str, int] = {}
+        self._pending: dict[str, _PendingProposal] = {}
+        self._last_announced_ms: dict[str, int] = {}
         self._last_sequence: dict[str, int] = {}
-        self._log_base_ms = 0
-        self._led_since_ms = 0
+        self._log_time_base_ms = 0
+        self._leadership_changed_ms = 0
 
-    # What the group drives.
+    # Called by the group.
 
     def apply(self, index: int, payload: bytes) -> None:
-        """Applies a committed record and answers whoever proposed it."""
+        """Applies a committed record and resolves its pending proposal."""
         record = state.record_decoder.decode(payload)
         if not self.leading:
-            # A leader has counted these before they were proposed.
-            self._count(record.body)
-        out = self.state.apply(index, record)
-        waiting = self._waiting.pop(record.tag, None)
-        if waiting is not None and not waiting.fut.done():
-            waiting.fut.set_result(out)
+            # The leader counted the record before it proposed it.
+            self._count_record(record.body)
+        outcome = self.state.apply(index, record)
+        pending = self._pending.pop(record.tag, None)
+        if pending is not None and not pending.fut.done():
+            pending.fut.set_result(outcome)
 
     def leadership(self, leading: bool) -> None:
-        """Starts or ends this keeper's time as the leader."""
+        """Handles that this keeper became the leader or stopped leading."""
         self.leading = leading
-        now = self._clock.now_ms()
-        self._led_since_ms = now
-        self._log_base_ms = self.state.ledger.now_ms
-        # This leader has no announcements yet: all servers get the whole time.
-        self._last_seen_ms = dict.fromkeys(self.state.fleet.servers, now)
+        now_ms = self._clock.now_ms()
+        self._leadership_changed_ms = now_ms
+        self._log_time_base_ms = self.state.ledger.now_ms
+        # A new leader has seen no announcement yet: each server gets the full
+        # `silent_server_ms` before it counts as lost.
+        self._last_announced_ms = dict.fromkeys(
+            self.state.fleet.servers, now_ms
+        )
         decisions.note(
             "leadership",
             "",
@@ -130,21 +145,21 @@
             self.quotas.count_expected(self.log_time_ms())
         else:
             metrics.QUOTA_USED.clear()
-            self._give_up("another leads")
+            self._fail_pending("another leads")
 
     def snapshot(self) -> bytes:
-        """Returns the state as of the last record applied."""
+        """Returns the encoded state after the last applied record."""
         return self.state.snapshot()
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by a snapshot."""
+        """Replaces the state with a snapshot."""
         self.state.restore(self.group.log.snapshot, data)
 
     def referenced(self) -> list[int]:
-        """Returns no index: nothing in the state points into the log."""
+        """Returns an empty list: the state refers to no log entry by index."""
         return []
 
-    def _count(self, body: Any) -> None:
+    def _count_record(self, body: Any) -> None:
         match body:
             case Begin():
                 self.count_turn(body)
@@ -152,111 +167,126 @@
                 for use in body.uses:
                     self.quotas.count_use(use, body.at_ms)
 
-    def _routing_changed(self) -> None:
+    def _handle_routing_change(self) -> None:
         packed = self.state.routing
         if packed is not None and packed.accounts != self._packed_accounts:
             self._packed_accounts = packed.accounts
             accounts = routes.unpack_accounts(packed) or []
             self.quotas.configure(accounts, self.state.ledger.now_ms)
-        self._on_routing()
+        self._on_routing_changed()
 
-    # What others ask for.
+    # Called by the rest of the process.
 
     def count_turn(self, begin: Begin) -> None:
-        """Counts a turn against its account's quota; a resend counts once."""
+        """Counts a turn against its account's quota, and a resent one once."""
         ledger = self.state.ledger
         if begin.account and not ledger.knows_turn(begin.attempt):
             turns = ledger.turn_count(begin.account, begin.program)
             self.quotas.count_turn(begin.account, begin.at_ms, turns=turns)
 
     def count_use(self, use: AccountUse) -> None:
-        """Counts plain requests, to be logged with others."""
+        """Counts an account's plain requests; `commit_use` logs the counts."""
         self.quotas.count_use(use, self.log_time_ms())
-        self._unlogged[use.account] = use.plus(self._unlogged.get(use.account))
+        self._uncommitted_use[use.account] = use.plus(
+            self._uncommitted_use.get(use.account)
+        )
 
-    async def log_use(self, wait_s: float) -> None:
-        """Has what was counted last logged; what isn't is lost."""
-        self._expose_use()
-        uses, self._unlogged = list(self._unlogged.values()), {}
+    async def commit_use(self, wait_s: float) -> None:
+        """Commits the use counted since the last call.
+
+        Use that is not committed within `wait_s` is lost.
+        """
+        self._update_quota_metrics()
+        uses, self._uncommitted_use = list(self._uncommitted_use.values()), {}
         if not uses:
             return
         body = state.CountUse(uses=uses, at_ms=self.log_time_ms())
-        out = await self.propose(body, wait_s)
-        if isinstance(out, Undecided):
-            decisions.note("use-unlogged", "", reason=out.reason)
+        outcome = await self.propose(body, wait_s)
+        if isinstance(outcome, Undecided):
+            decisions.note("use-unlogged", "", reason=outcome.reason)
 
-    def _expose_use(self) -> None:
+    def _update_quota_metrics(self) -> None:
         uses = self.quotas.uses()
         metrics.QUOTA_ACCOUNTS.set(len(uses))
         metrics.QUOTA_USED.clear()
-        for use in uses[:_MAX_EXPOSED]:
+        for use in uses[:_MAX_EXPOSED_ACCOUNTS]:
             metrics.QUOTA_USED.labels(use.account).set(use.used_share)
 
     def log_time_ms(self) -> int:
-        """Returns the log's time, which only rises, over all leaders."""
-        return self._log_base_ms + self._clock.now_ms() - self._led_since_ms
+        """Returns the time of the log, in ms.
+
+        It never goes back, not even when the leader changes.
+        """
+        return (
+            self._log_time_base_ms
+            + self._clock.now_ms()
+            - self._leadership_changed_ms
+        )
 
     def holds_lease(self) -> bool:
-        """Returns whether this keeper leads under a lease now."""
+        """Returns whether this keeper leads and its lease is valid now."""
         return self.leading and self.group.is_leader()
 
     async def propose(self, body: Any, wait_s: float) -> Outcome | Undecided:
-        """Has a record committed and applied.
+        """Proposes a record and waits until it is applied.
 
         Returns:
-            What it brought about; or why that is not known.
+            The outcome of the record, or why it is unknown.
         """
         if not self.holds_lease():
             return Undecided("not the leader")
         tag = next(self._tags)
         fut: asyncio.Future[Outcome | Undecided]
         fut = asyncio.get_running_loop().create_future()
-        self._waiting[tag] = _Waiting(fut)
+        self._pending[tag] = _PendingProposal(fut)
         record = state.Record(tag=tag, body=body)
         self.group.propose(codec.encode(record))
         try:
             async with asyncio.timeout(wait_s):
-                out = await fut
+                outcome = await fut
         except TimeoutError:
             return Undecided("no quorum in time")
         finally:
-            self._waiting.pop(tag, None)
-        # Applied, but by whom? A leader that was frozen meanwhile would speak
-        # for a state that another has changed.
-        if isinstance(out, Outcome) and not self.holds_lease():
+            self._pending.pop(tag, None)
+        # The record is applied, but this keeper may no longer lead: after a
+        # freeze it would answer from a state that another leader has changed.
+        if isinstance(outcome, Outcome) and not self.holds_lease():
             return Undecided("the lease ran out")
-        return out
+        return outcome
 
     async def set_routing(
         self, routing: PackedRouting, wait_s: float
     ) -> Undecided | None:
-        """Puts a document in force; one that is not newer changes nothing."""
+        """Puts a routing document in force if it is newer than the current."""
         if not self.holds_lease():
             return Undecided("not the leader")
         if routing.version <= self.state.version:
             return None
-        out = await self.propose(state.SetRouting(routing=routing), wait_s)
-        return out if isinstance(out, Undecided) else None
+        outcome = await self.propose(state.SetRouting(routing=routing), wait_s)
+        return outcome if isinstance(outcome, Undecided) else None
 
     async def announce(
         self, instance: Instance, wait_s: float
     ) -> Undecided | None:
-        """Handles a server's announcement; returns once it is committed."""
+        """Handles a server's announcement; returns after it is committed.
+
+        An announcement that changes nothing is not proposed.
+        """
         if not self.holds_lease():
             return Undecided("not the leader")
-        self._last_seen_ms[instance.id] = self._clock.now_ms()
+        self._last_announced_ms[instance.id] = self._clock.now_ms()
         if instance.state is ServerState.GONE:
-            last_seen = self._last_sequence.get(instance.id, 0)
+            last_sequence = self._last_sequence.get(instance.id, 0)
             instance = self.state.fleet.with_known_incarnation(
-                instance, last_seen
+                instance, last_sequence
             )
         else:
             self._last_sequence[instance.id] = instance.sequence
         if not self.state.fleet.would_change(instance):
             return None
-        out = await self.propose(state.Announce(instance=instance), wait_s)
-        if isinstance(out, Undecided):
-            return out
+        outcome = await self.propose(state.Announce(instance=instance), wait_s)
+        if isinstance(outcome, Undecided):
+            return outcome
         decisions.note(
             "server",
             "",
@@ -271,10 +301,10 @@
     async def report_crash(
         self, content: str, server: str, wait_s: float
     ) -> Undecided | None:
-        """Notes that a server crashed while it ran a request.
+        """Records that a server crashed while it ran a request.
 
-        One crash may be chance. With the second the content is quarantined:
-        its caller sends it again, and each time it would cost a server.
+        One crash may be a coincidence. The second one quarantines the content:
+        its caller resends it, and each resend would crash another server.
         """
         if not self.holds_lease():
             return Undecided("not the leader")
@@ -284,7 +314,8 @@
         )
         self._quarantine.resolve(server, server, crashed=True)
         quarantined = [
-            found.hex() for found in self._quarantine.quarantine_repeated()
+            repeated.hex()
+            for repeated in self._quarantine.quarantine_repeated()
         ]
         decisions.note(
             "crash-report",
@@ -295,21 +326,25 @@
         )
         if not quarantined:
             return None
-        out = await self.propose(state.Quarantine(contents=quarantined), wait_s)
-        return out if isinstance(out, Undecided) else None
+        outcome = await self.propose(
+            state.Quarantine(contents=quarantined), wait_s
+        )
+        return outcome if isinstance(outcome, Undecided) else None
 
-    def silent_servers(self) -> list[Instance]:
-        """Returns servers that were silent for too long, as lost.
+    def lost_servers(self) -> list[Instance]:
+        """Returns the servers that were silent for too long, in state LOST.
 
-        A server that crashed says nothing, and its address may be given to
-        another one.
+        A crashed server does not announce that it leaves, and its address may
+        be given to another server.
         """
-        now = self._clock.now_ms()
-        gone = []
+        now_ms = self._clock.now_ms()
+        lost = []
         for instance in self.state.fleet.servers.values():
-            last_seen = self._last_seen_ms.setdefault(instance.id, now)
-            if now - last_seen > self._silent_server_ms:
-                gone.append(
+            last_announced_ms = self._last_announced_ms.setdefault(
+                instance.id, now_ms
+            )
+            if now_ms - last_announced_ms > self._silent_server_ms:
+                lost.append(
                     Instance(
                         id=instance.id,
                         service=instance.service,
@@ -321,10 +356,10 @@
                         slots=instance.slots,
                     )
                 )
-        return gone
+        return lost
 
-    def _give_up(self, reason: str) -> None:
-        for waiting in self._waiting.values():
-            if not waiting.fut.done():
-                waiting.fut.set_result(Undecided(reason))
-        self._waiting.clear()
+    def _fail_pending(self, reason: str) -> None:
+        for pending in self._pending.values():
+            if not pending.fut.done():
+                pending.fut.set_result(Undecided(reason))
+        self._pending.clear()
--- a/catkinpin/adapters/keeper/process.py
+++ b/catkinpin/adapters/keeper/process.py
@@ -1,4 +1,8 @@
-"""The keeper process: the control group, turns' bytes, and their repair."""
+"""The keeper process.
+
+It runs a replica of the control group, stores turns' bytes, and restores lost
+copies of them.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from catkinpin.adapters.disk.turnbytes import TurnBytes
 from catkinpin.adapters.http.server import HttpServer
 from catkinpin.adapters.keeper import host, publisher, repair
-from catkinpin.adapters.keeper.asks import Asks
+from catkinpin.adapters.keeper.asks import AskHandler
 from catkinpin.adapters.keeper.host import Undecided
 from catkinpin.adapters.keeper.turns import TurnRequests
 from catkinpin.adapters.peers import keepers, links
@@ -42,36 +46,39 @@
 log = logging.getLogger(__name__)
 
 ROLE = "keeper"
-_GROUP = "control"
-_TICK_S = 0.1
-# Some minutes of records; most of a keeper's disk is for turns' bytes.
+_CONTROL_GROUP = "control"
+_TICK_INTERVAL_S = 0.1
+# Holds some minutes of records. Most of a keeper's disk is for turns' bytes.
 _SEGMENT_BYTES = 8 * 1024 * 1024
-# All turns wait for an election, and a short program's slack is some 500 ms.
-# Between regions a heartbeat takes 16 ms there and back, a slow disk's sync
-# 150 ms: an election on either's account would cost more than it saves.
+# All turns wait during an election, and a short program has a slack of some
+# 500 ms. The timeout must still exceed a heartbeat's round trip between regions
+# (16 ms) and the sync of a slow disk (150 ms): an election because of either
+# would cost more than it saves.
 _TIMING = Timing(
     heartbeat_interval_ms=50, election_timeout_ms=400, lease_ms=330
 )
-# A lost disk is looked for so often; a scan of 10,000 turns takes some ms.
-_REPAIR_TICKS = 5
-# Plain requests are logged so often; a leader that is lost takes with it what
-# came since.
-_USE_TICKS = 5
-# Gateways learn how many they are so often.
-_COUNT_TICKS = 10
-# Bytes without a turn go after two rounds: longer than any turn lasts.
-_FORGET_S = 20.0
-# Longest wait for a quorum: an election and twice the way between regions.
-_COMMIT_S = 1.5
+# Ticks between searches for lost copies; a scan of 10,000 turns takes some ms.
+_TICKS_PER_REPAIR = 5
+# Ticks between commits of the use of plain requests. Use that a leader has not
+# committed is lost with it.
+_TICKS_PER_USE_COMMIT = 5
+# Ticks between updates of the number of gateways; gateways divide the servers'
+# limits by it.
+_TICKS_PER_GATEWAY_COUNT = 10
+# Between scans for bytes without a turn. Bytes are dropped once two scans in a
+# row find them, which takes longer than any turn lasts.
+_ORPHAN_SCAN_INTERVAL_S = 20.0
+# Longest wait for a quorum: an election and a round trip between regions.
+_COMMIT_TIMEOUT_S = 1.5
 
 
 class Keeper:
-    """A keeper process and its parts.
+    """A keeper process and its components.
 
     Args:
         cfg: the settings.
         regions: region of each failure domain.
-        control: returns the handler of servers' and operators' calls.
+        control: returns the HTTP handler of calls by servers and operators.
     """
 
     def __init__(
@@ -91,11 +98,11 @@
             on_slow_disk=_note_slow_disk,
             on_full_disk=_note_full_disk,
         )
-        self.bytes = TurnBytes(cfg.data_folder / "turns")
+        self.turn_bytes = TurnBytes(cfg.data_folder / "turns")
         self.host = self._new_host()
-        self.host.group = self.node.add_group(_GROUP, self.host)
-        self.others = keepers.Keepers(self._hello(ROLE))
-        self._peers = links.PeerServer(
+        self.host.group = self.node.add_group(_CONTROL_GROUP, self.host)
+        self.other_hosts = keepers.Keepers(self._hello(ROLE))
+        self._peer_server = links.PeerServer(
             protocol.ToKeeper | transport.ReplicaMessage,
             self._on_message,
             lambda _: None,
@@ -103,23 +110,25 @@
         )
         self._http = HttpServer(control(self))
         self._tasks = BackgroundTasks()
-        self._turns = TurnServer(self.bytes, self.others, exits.stop_at_once)
+        self._turn_server = TurnServer(
+            self.turn_bytes, self.other_hosts, exits.stop_at_once
+        )
         self._publisher = publisher.Publisher(
-            cfg, self.node, self.host, self._peers
+            cfg, self.node, self.host, self._peer_server
         )
         self._copy_repair = repair.CopyRepair(
             cfg,
             self.node.identity,
             self.clock,
             self.host,
-            self.others,
-            self._turns,
-            _COMMIT_S,
+            self.other_hosts,
+            self._turn_server,
+            _COMMIT_TIMEOUT_S,
         )
         self._turn_requests = TurnRequests(
-            self.host, regions, self.clock, _COMMIT_S
+            self.host, regions, self.clock, _COMMIT_TIMEOUT_S
         )
-        self._asks = self._new_asks()
+        self._ask_handler = self._new_ask_handler()
         self._was_current = False
 
     def _new_host(self) -> host.KeeperHost:
@@ -133,20 +142,20 @@
                 self.cfg.quota_slack,
             ),
             self._routing_changed,
-            self._fleet_changed,
+            self._servers_changed,
             self._expired,
             self._quarantine_changed,
         )
 
-    def _new_asks(self) -> Asks:
-        return Asks(
+    def _new_ask_handler(self) -> AskHandler:
+        return AskHandler(
             self.host,
             self._publisher,
             self._turn_requests,
             self._copy_repair,
-            self._turns,
+            self._turn_server,
             self.clock,
-            _COMMIT_S,
+            _COMMIT_TIMEOUT_S,
         )
 
     def _hello(self, role: str) -> messages.Hello:
@@ -160,13 +169,13 @@
         )
 
     async def start(self) -> None:
-        """Listens, then takes part in the control group."""
+        """Starts the replica of the control group, and listens."""
         self.node.start(self._hello(mesh.ROLE))
-        await self._peers.start(self.address)
-        self.others.add(self.cfg.seeds)
+        await self._peer_server.start(self.address)
+        self.other_hosts.add(self.cfg.seeds)
         await self._http.start(self.cfg.listen)
         self._tasks.spawn(self._tick())
-        self._tasks.spawn(self._forget_bytes())
+        self._tasks.spawn(self._drop_orphaned_bytes())
         decisions.note(
             "start",
             "",
@@ -177,49 +186,57 @@
         )
 
     async def stop(self) -> None:
-        """Hands leadership over and stops."""
+        """Hands leadership over and stops the process."""
         decisions.note("stop", "", led=self.host.leading)
         self._http.close_when_answered()
         await self.node.stop()
         await self._http.stop()
         self._tasks.cancel()
-        await self.others.stop()
-        await self._peers.stop()
-        self.bytes.close()
+        await self.other_hosts.stop()
+        await self._peer_server.stop()
+        self.turn_bytes.close()
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """Takes other seeds while it runs."""
+        """Connects to the seeds of changed settings."""
         decisions.note("reload", "", seeds=seeds)
-        self.others.add(seeds)
+        self.other_hosts.add(seeds)
         for address in seeds:
             self.node.connect_to(address)
 
-    # What servers and operators ask, through whichever keeper.
+    # Calls by servers and operators, which any keeper takes.
 
     async def announce(self, instance: Instance) -> str:
-        """Handles a server's announcement; returns an error text or ""."""
-        out = await self.host.announce(instance, _COMMIT_S)
-        if out is None:
+        """Handles a server's announcement.
+
+        Returns:
+            Why it is not committed, or "" if it is.
+        """
+        outcome = await self.host.announce(instance, _COMMIT_TIMEOUT_S)
+        if outcome is None:
             return ""
         try:
-            await self.others.ask_leader(
+            await self.other_hosts.ask_leader(
                 lambda ask: protocol.AskAnnounce(ask=ask, instance=instance),
-                _COMMIT_S,
+                _COMMIT_TIMEOUT_S,
             )
         except PeerLostError as exc:
             return str(exc)
         return ""
 
     async def set_routing(self, document: Routing) -> str:
-        """Puts routes in force; returns why not, or an empty string."""
+        """Puts routes in force.
+
+        Returns:
+            Why they are not in force, or "" if they are.
+        """
         routing = routes.pack(document)
-        out = await self.host.set_routing(routing, _COMMIT_S)
+        outcome = await self.host.set_routing(routing, _COMMIT_TIMEOUT_S)
         why = ""
-        if out is not None:
+        if outcome is not None:
             try:
-                await self.others.ask_leader(
+                await self.other_hosts.ask_leader(
                     lambda ask: protocol.AskRouting(ask=ask, routing=routing),
-                    _COMMIT_S,
+                    _COMMIT_TIMEOUT_S,
                 )
             except PeerLostError as exc:
                 why = str(exc)
@@ -233,12 +250,12 @@
         return why
 
     async def current_routing(self) -> Routing | Undecided | None:
-        """Returns the newest routes that were acknowledged."""
+        """Returns the newest committed routes, None if there are none."""
         packed = self.host.state.routing
         if not self.host.holds_lease():
             try:
-                reply = await self.others.ask_leader(
-                    lambda ask: protocol.AskCurrent(ask=ask), _COMMIT_S
+                reply = await self.other_hosts.ask_leader(
+                    lambda ask: protocol.AskCurrent(ask=ask), _COMMIT_TIMEOUT_S
                 )
             except PeerLostError as exc:
                 return Undecided(str(exc))
@@ -247,10 +264,10 @@
 
     @property
     def leader(self) -> str:
-        """Peer address of the leader, empty where not known."""
+        """Peer address of the leader, "" while it is unknown."""
         return self.host.group.leader
 
-    # Messages.
+    # Messages of other processes.
 
     def _on_message(self, stream: links.Stream, message: Any) -> None:
         if stream.hello is None:
@@ -267,89 +284,97 @@
         if isinstance(message, protocol.GroupSeen):
             self.node.group_known(stream.hello.process)
             return
-        self._tasks.spawn(self._asks.answer(stream, message))
+        self._tasks.spawn(self._ask_handler.answer(stream, message))
 
     # Stores.
 
     async def retire(
         self, name: str, *, begin: bool
     ) -> protocol.Retirement | Undecided:
-        """Has a store emptied, or returns how far that is."""
+        """Begins to empty a store, or only returns how far that is.
+
+        Args:
+            name: of the store.
+            begin: whether to begin, if the store is not being emptied yet.
+        """
         if self.host.holds_lease():
-            return await self._asks.retire(name, begin=begin)
+            return await self._ask_handler.retire(name, begin=begin)
         try:
-            reply: protocol.Retirement = await self.others.ask_leader(
+            reply: protocol.Retirement = await self.other_hosts.ask_leader(
                 lambda ask: protocol.AskRetire(ask=ask, name=name, begin=begin),
-                _COMMIT_S,
+                _COMMIT_TIMEOUT_S,
             )
         except PeerLostError as exc:
             return Undecided(str(exc))
         return reply
 
-    # Changes that others must hear of.
+    # Changes to publish.
 
     def _leader_changed(self, group: Group) -> None:
         decisions.note("leader", "", address=group.leader, term=group.term)
         self._turn_requests.reset()
-        self._publisher.info()
+        self._publisher.publish_info()
 
     def _routing_changed(self) -> None:
-        self._publisher.routing()
+        self._publisher.publish_routing()
 
-    def _fleet_changed(self, instances: list[Instance]) -> None:
+    def _servers_changed(self, instances: list[Instance]) -> None:
         self._turn_requests.servers_changed(instances)
-        self._publisher.fleet(instances)
+        self._publisher.publish_servers(instances)
 
     def _quarantine_changed(self, contents: list[str]) -> None:
-        self._publisher.quarantined(contents)
+        self._publisher.publish_quarantine(contents)
 
     def _expired(self, attempts: list[str]) -> None:
-        self.bytes.drop(attempts)
+        self.turn_bytes.drop(attempts)
         if self.host.leading:
-            self._publisher.expired(attempts)
+            self._publisher.publish_expired(attempts)
 
     async def _tick(self) -> None:
         ticks = 0
         published_gateways = 0
         while True:
-            await asyncio.sleep(_TICK_S)
-            self.others.tick()
-            self._publisher.tick()
+            await asyncio.sleep(_TICK_INTERVAL_S)
+            self.other_hosts.tick()
+            self._publisher.send_to_slow_gateways()
             ticks += 1
-            gateways = self._publisher.gateways()
-            if ticks % _COUNT_TICKS == 0 and gateways != published_gateways:
+            gateways = self._publisher.gateway_count()
+            if (
+                ticks % _TICKS_PER_GATEWAY_COUNT == 0
+                and gateways != published_gateways
+            ):
                 published_gateways = gateways
-                self._publisher.gateways_info()
-            current = self.host.group.is_current()
-            if current != self._was_current:
-                self._was_current = current
-                self._publisher.info()
-                self._publisher.routing()
+                self._publisher.publish_info_to_gateways()
+            is_current = self.host.group.is_current()
+            if is_current != self._was_current:
+                self._was_current = is_current
+                self._publisher.publish_info()
+                self._publisher.publish_routing()
             if not self.host.holds_lease():
                 continue
-            for gone in self.host.silent_servers():
-                self._tasks.spawn(self.host.announce(gone, _COMMIT_S))
-            if ticks % _USE_TICKS == 0:
-                self._tasks.spawn(self.host.log_use(_COMMIT_S))
-            if ticks % _REPAIR_TICKS == 0:
+            for lost in self.host.lost_servers():
+                self._tasks.spawn(self.host.announce(lost, _COMMIT_TIMEOUT_S))
+            if ticks % _TICKS_PER_USE_COMMIT == 0:
+                self._tasks.spawn(self.host.commit_use(_COMMIT_TIMEOUT_S))
+            if ticks % _TICKS_PER_REPAIR == 0:
                 self._tasks.spawn(self._copy_repair.repair())
 
-    async def _forget_bytes(self) -> None:
+    async def _drop_orphaned_bytes(self) -> None:
         """Drops turns' bytes that no program can ask for any more.
 
-        A host that was away when turns expired never learns of it, and
-        a gateway that died after storing never settles its turn.
+        A host that was disconnected when turns expired does not learn of it,
+        and a gateway that crashed after storing bytes never settles its turn.
         """
-        before: set[str] = set()
+        unknown_before: set[str] = set()
         while True:
-            await asyncio.sleep(_FORGET_S)
+            await asyncio.sleep(_ORPHAN_SCAN_INTERVAL_S)
             turns = self.host.state.ledger.turns
             if not self.host.group.is_current():
-                before = set()
+                unknown_before = set()
                 continue
-            unknown = {a for a in self.bytes.attempts() if a not in turns}
-            self.bytes.drop(unknown & before)
-            before = unknown - before
+            unknown = {a for a in self.turn_bytes.attempts() if a not in turns}
+            self.turn_bytes.drop(unknown & unknown_before)
+            unknown_before = unknown - unknown_before
 
 
 def _note_full_disk(full: bool) -> None:
@@ -361,7 +386,7 @@
 
 
 def _node_config(cfg: KeeperSettings) -> NodeConfig:
-    """Returns how this keeper takes part in the control group."""
+    """Returns the settings of the replica of the control group."""
     return NodeConfig(
         cfg.data_folder,
         tuple(cfg.seeds),
--- a/catkinpin/adapters/keeper/publisher.py
+++ b/catkinpin/adapters/keeper/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes a keeper's state to all processes connected to it."""
+"""Sends a keeper's state to the processes that are connected to it."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
     Args:
         cfg: the keeper's settings.
-        replica: this keeper's part in the control group.
-        host: what this keeper believes.
-        server: the streams of those who are connected.
+        replica: this keeper's node of the control group.
+        host: the control group's state.
+        server: holds the streams of the connected processes.
     """
 
     def __init__(
@@ -43,61 +43,64 @@
         self._node = replica
         self._host = host
         self._server = server
-        self._servers = ServerUpdates(
+        self._server_updates = ServerUpdates(
             host.state, lambda: self._streams(GATEWAY_ROLE)
         )
 
-    def info(self) -> None:
-        """Tells all who this keeper is and whom it knows."""
-        self._broadcast(self._info())
+    def publish_info(self) -> None:
+        """Sends to all processes who this keeper is and which it knows."""
+        self._broadcast(self._host_info())
 
-    def gateways_info(self) -> None:
-        """Tells gateways the same, as they share the servers' limits."""
-        self._broadcast(self._info(), GATEWAY_ROLE)
+    def publish_info_to_gateways(self) -> None:
+        """Sends the same to gateways only.
 
-    def routing(self) -> None:
-        """Tells gateways which routes are the newest known here."""
-        self._broadcast(self._routing_now(), GATEWAY_ROLE)
+        Gateways divide the servers' limits by the number of gateways.
+        """
+        self._broadcast(self._host_info(), GATEWAY_ROLE)
 
-    def fleet(self, instances: list[Instance]) -> None:
-        """Tells gateways of servers that changed."""
-        self._servers.changed(instances)
+    def publish_routing(self) -> None:
+        """Sends the version of the newest routes known here to gateways."""
+        self._broadcast(self._routing_update(), GATEWAY_ROLE)
 
-    def tick(self) -> None:
-        """Sends what gateways that read slowly have missed."""
-        self._servers.tick()
+    def publish_servers(self, instances: list[Instance]) -> None:
+        """Sends changed servers to gateways."""
+        self._server_updates.add_changed(instances)
 
-    def quarantined(self, contents: list[str]) -> None:
-        """Tells gateways of contents that no server may get."""
+    def send_to_slow_gateways(self) -> None:
+        """Sends all servers to slow gateways that have emptied their queue."""
+        self._server_updates.send_to_slow_gateways()
+
+    def publish_quarantine(self, contents: list[str]) -> None:
+        """Sends quarantined contents to gateways; no server may get them."""
         self._broadcast(
             protocol.QuarantineUpdate(contents=contents), GATEWAY_ROLE
         )
 
-    def unresponsive(self, servers: list[str]) -> None:
-        """Tells gateways of plain servers that answer nobody."""
+    def publish_unresponsive(self, servers: list[str]) -> None:
+        """Sends to gateways which plain servers answer no gateway."""
         self._broadcast(
             protocol.UnresponsiveUpdate(servers=servers), GATEWAY_ROLE
         )
 
-    def expired(self, attempts: list[str]) -> None:
-        """Tells stores of turns whose bytes are needed no more."""
+    def publish_expired(self, attempts: list[str]) -> None:
+        """Sends to stores the turns whose bytes are no longer needed."""
         self._broadcast(protocol.Expired(attempts=attempts), STORE_ROLE)
 
     def send_state(self, stream: links.Stream) -> None:
-        """Tells one that has just connected all that it needs."""
-        stream.send(self._info())
+        """Sends the whole state that a newly connected process needs."""
+        stream.send(self._host_info())
         if stream.hello is None or stream.hello.role != GATEWAY_ROLE:
             return
-        stream.send(self._routing_now())
-        self._servers.send_all(stream)
+        stream.send(self._routing_update())
+        self._server_updates.send_all(stream)
         contents = list(self._host.state.quarantined)
         stream.send(protocol.QuarantineUpdate(contents=contents))
 
-    def gateways(self) -> int:
+    def gateway_count(self) -> int:
         """Returns how many gateways are connected."""
         return sum(1 for _ in self._streams(GATEWAY_ROLE))
 
-    def _info(self) -> protocol.HostInfo:
+    def _host_info(self) -> protocol.HostInfo:
         group = self._host.group
         known = {member.address for member in group.members.members}
         known |= set(self._node.known_addresses())
@@ -112,10 +115,10 @@
             leader=group.leader,
             term=group.term,
             retiring=[store.node for store in stores if store.retiring],
-            gateways=self.gateways(),
+            gateways=self.gateway_count(),
         )
 
-    def _routing_now(self) -> protocol.RoutingUpdate:
+    def _routing_update(self) -> protocol.RoutingUpdate:
         return protocol.RoutingUpdate(
             version=self._host.state.version,
             is_current=self._host.group.is_current(),
@@ -127,7 +130,10 @@
             stream.send_encoded(encoded)
 
     def _streams(self, role: str) -> Iterator[links.Stream]:
-        """Yields the streams of all of a role; empty: of all but replicas."""
+        """Yields the streams of the processes of a role.
+
+        An empty role yields all but the streams between replicas.
+        """
         for stream in self._server.streams:
             hello = stream.hello
             if hello is None or hello.role == mesh.ROLE:
--- a/catkinpin/adapters/keeper/repair.py
+++ b/catkinpin/adapters/keeper/repair.py
@@ -1,6 +1,6 @@
-"""Who holds turns' bytes: repairs lost copies, empties stores.
+"""Registers and empties stores, and restores lost copies of turns' bytes.
 
-Only the keeper that leads does either, one round after the other.
+Only the leading keeper does so.
 """
 
 from __future__ import annotations
@@ -28,36 +28,40 @@
 
 log = logging.getLogger(__name__)
 
-# A store silent for so long counts as lost until it is seen again. Hosts that
-# restart or thaw are back before.
+# A store silent for so long counts as lost until it connects again. Hosts that
+# restart or thaw are back sooner.
 _SILENT_STORE_MS = 5_000
-# From the order to empty a store to the last turn settled by a
-# gateway that had not received it yet.
+# From the order to empty a store until the last turn is settled by a gateway
+# that stored there before it received the order.
 _SETTLE_MS = 2_000
 
 
-class _Collector:
-    """Takes the one reply of work that this process does for itself."""
+class _LocalReply:
+    """Receives the reply to a request that this process makes to itself.
+
+    Attributes:
+        is_done: whether the request succeeded.
+    """
 
     def __init__(self) -> None:
-        self.done = False
+        self.is_done = False
 
     def send(self, reply: Any) -> None:
-        """Notes whether the work was done."""
-        self.done = isinstance(reply, protocol.Done)
+        """Records whether the request succeeded."""
+        self.is_done = isinstance(reply, protocol.Done)
 
 
 class CopyRepair:
-    """Keeps enough copies of all turns' bytes.
+    """Maintains the configured number of copies of all turns' bytes.
 
     Args:
         cfg: the keeper's settings.
         node: the keeper's identity.
-        clock: time.
-        host: what this keeper believes, and how it decides.
-        others: links to the other holders.
-        turns: this keeper's own copies.
-        commit_s: longest wait for a quorum.
+        clock: the time source.
+        host: the control group's state; proposes records to it.
+        other_hosts: links to the other hosts that hold copies.
+        turn_server: serves this keeper's own copies.
+        commit_timeout_s: longest wait for a quorum.
     """
 
     def __init__(
@@ -66,40 +70,45 @@
         node: str,
         clock: Clock,
         host: KeeperHost,
-        others: Keepers,
-        turns: TurnServer,
-        commit_s: float,
+        other_hosts: Keepers,
+        turn_server: TurnServer,
+        commit_timeout_s: float,
     ) -> None:
         self._cfg = cfg
         self._node = node
         self._clock = clock
         self._host = host
-        self._others = others
-        self._turns = turns
-        self._commit_s = commit_s
+        self._other_hosts = other_hosts
+        self._turn_server = turn_server
+        self._commit_timeout_s = commit_timeout_s
         self._last_seen_ms: dict[str, int] = {}
-        self._retiring_ms: dict[str, int] = {}
-        self._repairing = False
+        self._retiring_since_ms: dict[str, int] = {}
+        self._is_repairing = False
 
     # Stores.
 
     async def register(self, store: Store) -> Undecided | bool:
-        """Counts a store from now on; returns whether that is news."""
+        """Registers a store; returns whether it is new or has changed."""
         if not self._host.holds_lease():
             return Undecided("not the leader")
         self._last_seen_ms[store.node] = self._clock.now_ms()
         if not self._host.state.stores.would_change(store):
             return False
-        out = await self._host.propose(Register(store=store), self._commit_s)
-        if isinstance(out, Undecided):
-            return out
+        outcome = await self._host.propose(
+            Register(store=store), self._commit_timeout_s
+        )
+        if isinstance(outcome, Undecided):
+            return outcome
         decisions.note("store", "", store=store.name, address=store.address)
         return True
 
     async def retire(
         self, name: str, *, begin: bool
     ) -> protocol.Retirement | Undecided:
-        """Has a store emptied, or returns how far that is; only the leader."""
+        """Begins to empty a store, or only returns how far that is.
+
+        Only the leader may call it.
+        """
         stores = self._host.state.stores
         store = stores.find(name)
         if store is None:
@@ -107,93 +116,100 @@
         if begin and not store.retiring:
             if stores.count_without(name) < self._cfg.copies:
                 return _retirement(too_few=True)
-            out = await self._host.propose(Retire(name=name), self._commit_s)
-            if isinstance(out, Undecided):
-                return out
+            outcome = await self._host.propose(
+                Retire(name=name), self._commit_timeout_s
+            )
+            if isinstance(outcome, Undecided):
+                return outcome
             decisions.note("retire", "", store=name)
         return _retirement(is_empty=self._is_empty(store))
 
     def _is_empty(self, store: Store) -> bool:
-        """Returns whether a retiring store can go, with its disk.
+        """Returns whether a retiring store can be removed with its disk.
 
-        Gateways that stored there before they got the order settle their turns
-        a little later; these count on its copy until another one is made.
+        Gateways that stored there before they received the order settle their
+        turns a little later. These turns need its copy until another is made.
         """
         now_ms = self._clock.now_ms()
-        since_ms = self._retiring_ms.setdefault(store.node, now_ms)
+        since_ms = self._retiring_since_ms.setdefault(store.node, now_ms)
         if now_ms - since_ms < _SETTLE_MS:
             return False
-        counted = self._counted()
+        counted_hosts = self._counted_hosts()
         return not any(
             store.node in turn.holders
-            or sum(n in counted for n in turn.holders) < self._cfg.copies
+            or sum(n in counted_hosts for n in turn.holders) < self._cfg.copies
             for turn in self._host.state.ledger.turns.values()
         )
 
     # Copies.
 
     async def repair(self) -> None:
-        """Copies turns of which too few holders count; one round at a time."""
-        if self._repairing:
+        """Copies the turns that have too few copies on live hosts.
+
+        Does nothing while an earlier call is still running.
+        """
+        if self._is_repairing:
             return
-        self._repairing = True
+        self._is_repairing = True
         try:
             plan = copies.plan(
                 self._host.state.ledger.turns.values(),
-                self._counted(),
-                self._holders(),
+                self._counted_hosts(),
+                self._reachable_holders(),
                 self._cfg.copies,
             )
             for copy in plan:
                 await self._copy(copy)
         finally:
-            self._repairing = False
+            self._is_repairing = False
 
-    def _holders(self) -> list[copies.Holder]:
-        """Returns the hosts that can be asked now, this one included."""
+    def _reachable_holders(self) -> list[copies.Holder]:
+        """Returns the connected hosts and this one."""
         cfg = self._cfg
-        us = copies.Holder(
+        this_host = copies.Holder(
             self._node, cfg.peer_listen, cfg.region, cfg.failure_domain
         )
         others = [
             copies.holder_of(host.info)
-            for host in self._others.connected()
+            for host in self._other_hosts.connected()
             if host.info is not None
         ]
-        return [us, *others]
+        return [this_host, *others]
 
-    def _counted(self) -> set[str]:
+    def _counted_hosts(self) -> set[str]:
         """Returns the identities of the hosts whose copies count.
 
-        A store that stays silent may be gone for good, with its disk; a
-        second loss would then take the last copy.
+        These are all keepers of the group, and the stores that were connected
+        recently and are not retiring. A silent store may have lost its disk
+        for good; a second loss could then take the last copy.
         """
         now_ms = self._clock.now_ms()
-        for host in self._others.connected():
+        for host in self._other_hosts.connected():
             if host.info is not None:
                 self._last_seen_ms[host.info.node] = now_ms
-        counted = {m.node for m in self._host.group.members.members}
+        counted_hosts = {m.node for m in self._host.group.members.members}
         for store in self._host.state.stores.by_node.values():
             last_seen_ms = self._last_seen_ms.setdefault(store.node, now_ms)
             if not store.retiring and now_ms - last_seen_ms < _SILENT_STORE_MS:
-                counted.add(store.node)
-        return counted
+                counted_hosts.add(store.node)
+        return counted_hosts
 
     async def _copy(self, copy: copies.CopyBatch) -> None:
+        """Copies a batch of turns to its target and commits the new holder."""
         copy_turns = protocol.CopyTurns(
             ask=0, attempts=copy.attempts, source=copy.source.address
         )
         if copy.target.node == self._node:
-            collector = _Collector()
-            await self._turns.copy_turns(collector, copy_turns)
-            done = collector.done
+            local_reply = _LocalReply()
+            await self._turn_server.copy_turns(local_reply, copy_turns)
+            is_done = local_reply.is_done
         else:
-            done = await self._have_copied(copy, copy_turns)
-        if not done:
+            is_done = await self._request_copy(copy, copy_turns)
+        if not is_done:
             return
         holders = [*copy.counted_holders, copy.target.node]
         moved = Moved(attempts=copy.attempts, holders=holders)
-        await self._host.propose(moved, self._commit_s)
+        await self._host.propose(moved, self._commit_timeout_s)
         decisions.note(
             "copied",
             "",
@@ -202,18 +218,19 @@
             target=copy.target.address,
         )
 
-    async def _have_copied(
+    async def _request_copy(
         self, copy: copies.CopyBatch, copy_turns: protocol.CopyTurns
     ) -> bool:
-        target = self._others.by_node(copy.target.node)
+        """Has the target copy the turns; returns whether it did."""
+        target = self._other_hosts.by_node(copy.target.node)
         if target is None:
             return False
         try:
-            reply = await self._others.ask(
+            reply = await self._other_hosts.ask(
                 target, lambda ask: structs.replace(copy_turns, ask=ask), COPY_S
             )
         except PeerLostError as exc:
-            log.info("copy failed: %s", exc)
+            log.info("copying turns failed: %s", exc)
             return False
         return isinstance(reply, protocol.Done)
 
--- a/catkinpin/adapters/keeper/serverupdates.py
+++ b/catkinpin/adapters/keeper/serverupdates.py
@@ -1,9 +1,9 @@
-"""Publishes servers to gateways.
+"""Sends servers to gateways.
 
-Hundreds of gateways hear of thousands of servers, at their start all at once.
-So a message is encoded once for all of them, changes of one turn of the loop
-are one message, and a gateway that reads slowly gets no longer queue: once it
-has read what waits for it, it gets all servers.
+Hundreds of gateways need thousands of servers, and all at once when the system
+starts. To bound memory and work, a message is encoded once for all gateways,
+all changes of one iteration of the event loop are one message, and the queue of
+a slow gateway is limited: after the gateway has read it, it gets all servers.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     from catkinpin.core.control.servers import Instance
     from catkinpin.core.control.state import ControlState
 
-# Messages that may wait for a gateway before it counts as slow.
-_MAX_QUEUED = 64
+# A gateway for which so many messages are queued counts as slow.
+_MAX_QUEUED_MESSAGES = 64
 
 
 class ServerUpdates:
-    """What gateways hear of servers.
+    """Sends changed servers to gateways, and all servers where needed.
 
     Args:
         state: the control group's state.
@@ -40,32 +40,32 @@
         self._state = state
         self._gateways = gateways
         self._changed: list[Instance] = []
-        self._all: streams.Encoded | None = None
-        self._behind: set[streams.Stream] = set()
+        self._encoded_all: streams.Encoded | None = None
+        self._slow_gateways: set[streams.Stream] = set()
 
-    def changed(self, instances: list[Instance]) -> None:
-        """Notes servers that changed; published in the next turn."""
-        self._all = None
+    def add_changed(self, instances: list[Instance]) -> None:
+        """Queues changed servers for the next iteration of the event loop."""
+        self._encoded_all = None
         if instances and not self._changed:
             asyncio.get_running_loop().call_soon(self._publish)
         self._changed.extend(instances)
 
     def send_all(self, stream: streams.Stream) -> None:
         """Sends all servers to a gateway."""
-        if self._all is None:
-            self._all = streams.encode(
+        if self._encoded_all is None:
+            self._encoded_all = streams.encode(
                 protocol.AllServers(
                     index=self._state.index,
                     packed=servers.pack(self._state.fleet.servers.values()),
                 )
             )
-        stream.send_encoded(self._all)
+        stream.send_encoded(self._encoded_all)
 
-    def tick(self) -> None:
-        """Sends all servers to slow gateways that have caught up."""
-        self._behind &= set(self._gateways())
-        for stream in [one for one in self._behind if not one.queue_length]:
-            self._behind.discard(stream)
+    def send_to_slow_gateways(self) -> None:
+        """Sends all servers to slow gateways that have emptied their queue."""
+        self._slow_gateways &= set(self._gateways())
+        for stream in [s for s in self._slow_gateways if not s.queue_length]:
+            self._slow_gateways.discard(stream)
             self.send_all(stream)
 
     def _publish(self) -> None:
@@ -76,7 +76,7 @@
             )
         )
         for stream in self._gateways():
-            if stream.queue_length >= _MAX_QUEUED:
-                self._behind.add(stream)
-            if stream not in self._behind:
+            if stream.queue_length >= _MAX_QUEUED_MESSAGES:
+                self._slow_gateways.add(stream)
+            if stream not in self._slow_gateways:
                 stream.send_encoded(update)
--- a/catkinpin/adapters/keeper/turns.py
+++ b/catkinpin/adapters/keeper/turns.py
@@ -1,4 +1,4 @@
-"""What gateways ask a keeper about turns: begin, with a server, and finish."""
+"""Requests of gateways to begin, place and finish turns."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class TurnRequests:
-    """Begins, places and settles turns where this keeper leads.
+    """Begins, places and settles turns while this keeper leads.
 
     Args:
-        host: the control group's state, and how this keeper decides.
+        host: proposes records to the control group.
         regions: region of each failure domain.
-        clock: time.
-        commit_s: longest wait for a quorum.
+        clock: the time source.
+        commit_timeout_s: longest wait for a quorum.
     """
 
     def __init__(
@@ -39,51 +39,59 @@
         host: KeeperHost,
         regions: dict[str, str],
         clock: Clock,
-        commit_s: float,
+        commit_timeout_s: float,
     ) -> None:
         self._host = host
         self._clock = clock
-        self._commit_s = commit_s
+        self._commit_timeout_s = commit_timeout_s
         self._placer = Placer(regions, random.Random())
         self._unresponsive = UnresponsiveServers()
 
     async def begin(
         self, message: protocol.AskBegin
     ) -> protocol.Began | Undecided:
-        """Begins a turn and names a server for it."""
+        """Begins a turn and chooses a server for it, unless it is denied."""
         begin = structs.replace(message.begin, at_ms=self._host.log_time_ms())
         retry_ms = self._admit(begin)
         if retry_ms:
-            return self._over_quota(message.ask, begin, retry_ms)
-        out = await self._host.propose(begin, self._commit_s)
-        if isinstance(out, Undecided):
-            return out
-        placed = "" if out.denial else self._place(message, out.server)
+            return self._deny_over_quota(message.ask, begin, retry_ms)
+        outcome = await self._host.propose(begin, self._commit_timeout_s)
+        if isinstance(outcome, Undecided):
+            return outcome
+        placed = (
+            ""
+            if outcome.denial
+            else self._choose_server(message, outcome.server)
+        )
         return protocol.Began(
             ask=message.ask,
-            denial=out.denial,
-            chain=out.chain,
-            program_status=out.program_status,
-            server=out.server,
+            denial=outcome.denial,
+            chain=outcome.chain,
+            program_status=outcome.program_status,
+            server=outcome.server,
             placed=placed,
         )
 
     async def finish(self, message: protocol.AskFinish) -> Undecided | None:
-        """Settles a turn."""
+        """Settles a turn and releases its place on its server."""
         finish = structs.replace(message.finish, at_ms=self._host.log_time_ms())
         now_ms = self._clock.now_ms()
         self._placer.finish(finish.attempt, message.report, now_ms)
-        out = await self._host.propose(finish, self._commit_s)
-        return out if isinstance(out, Undecided) else None
+        outcome = await self._host.propose(finish, self._commit_timeout_s)
+        return outcome if isinstance(outcome, Undecided) else None
+
+    def unresponsive_servers(self, gateways: int) -> list[str]:
+        """Returns plain servers that several gateways report unresponsive.
 
-    def unresponsive(self, gateways: int) -> list[str]:
-        """Returns plain servers that several gateways find unresponsive."""
+        Args:
+            gateways: how many gateways are connected.
+        """
         return self._unresponsive.confirmed(gateways, self._clock.now_ms())
 
     def report_use(
         self, message: protocol.ReportUse, gateway: str
     ) -> protocol.QuotaUpdate | Undecided:
-        """Counts plain requests; returns which accounts get none served."""
+        """Counts plain requests; returns the accounts over their quota."""
         if not self._host.holds_lease():
             return Undecided("not the leader")
         self._unresponsive.report(
@@ -97,18 +105,22 @@
         )
 
     def reset(self) -> None:
-        """Forgets placements: the leader has changed."""
+        """Drops placements and reports after a change of the leader."""
         self._placer.reset()
         self._unresponsive.reset()
 
     def servers_changed(self, instances: Iterable[Instance]) -> None:
-        """Forgets servers that are gone."""
+        """Drops the placements on servers that are offline."""
         for instance in instances:
             if instance.state.is_offline:
                 self._placer.forget(instance.id)
 
     def _admit(self, begin: Begin) -> int:
-        """Returns in how many ms a turn fits its quota; counts it if now."""
+        """Counts a new turn against its account's quota if it fits.
+
+        Returns:
+            How many ms the turn must wait, 0 if it fits or is not limited.
+        """
         if not begin.account or not self._host.holds_lease():
             return 0
         ledger = self._host.state.ledger
@@ -122,7 +134,7 @@
             self._host.count_turn(begin)
         return retry_ms
 
-    def _over_quota(
+    def _deny_over_quota(
         self, ask: int, begin: Begin, retry_ms: int
     ) -> protocol.Began:
         use = self._host.quotas.use_of(begin.account)
@@ -140,7 +152,9 @@
             ask=ask, denial=Denial.QUOTA_USED_UP, chain=[], retry_ms=retry_ms
         )
 
-    def _place(self, message: protocol.AskBegin, last_server: str) -> str:
+    def _choose_server(
+        self, message: protocol.AskBegin, last_server: str
+    ) -> str:
         if message.place is None:
             return ""
         fleet = self._host.state.fleet
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -56,7 +56,7 @@
         async def main() -> None:
             for number in range(count):
                 one = instance(f"s{number}", address=f"10.0.0.1:{number}")
-                self.updates.changed(self.state.fleet.apply(one))
+                self.updates.add_changed(self.state.fleet.apply(one))
                 if number % _RECORDS_A_SYNC == _RECORDS_A_SYNC - 1:
                     await asyncio.sleep(0)
                     await asyncio.sleep(0)
@@ -98,21 +98,21 @@
         slow = self.streams[0]
         read: list[Any] = []
         self._announce(_SERVERS)
-        self.updates.tick()
+        self.updates.send_to_slow_gateways()
         self.assertLess(slow.queue_length, _SERVERS // _RECORDS_A_SYNC)
         read += slow.read()
-        self.updates.tick()
+        self.updates.send_to_slow_gateways()
         read += slow.read()
         self.assertEqual(_SERVERS, len(self._view(read).fleet.servers))
         self._announce(1)
-        self.updates.tick()
+        self.updates.send_to_slow_gateways()
         self.assertEqual([], slow.read())
 
     def test_gateway_that_keeps_up_gets_each_change(self) -> None:
         """Guards against a fall-back to all servers without need."""
         read: list[Any] = []
         self._announce(_SERVERS, lambda: read.extend(self.streams[0].read()))
-        self.updates.tick()
+        self.updates.send_to_slow_gateways()
         read += self.streams[0].read()
         kinds = {type(_decoder.decode(raw)) for raw in read}
         self.assertEqual({protocol.ServersUpdate}, kinds)
@@ -127,7 +127,7 @@
         gone = instance("s1", state=servers.ServerState.GONE, sequence=2)
 
         async def leave() -> None:
-            self.updates.changed(self.state.fleet.apply(gone))
+            self.updates.add_changed(self.state.fleet.apply(gone))
 
         asyncio.run(leave())
         stream.read()
