--- a/catkinpin/adapters/keeper/serverupdates.py
+++ b/catkinpin/adapters/keeper/serverupdates.py
@@ -40,7 +40,7 @@
         self._state = state
         self._gateways = gateways
         self._changed: list[Instance] = []
-        self._encoded_all: streams.Encoded | None = None
+        self._encoded_all: streams.EncodedMessage | None = None
         self._slow_gateways: set[streams.Stream] = set()
 
     def add_changed(self, instances: list[Instance]) -> None:
--- a/catkinpin/adapters/peers/keepers.py
+++ b/catkinpin/adapters/peers/keepers.py
@@ -1,4 +1,4 @@
-"""Links to the keepers, for whoever asks them: gateways and other keepers."""
+"""Links of gateways, stores and keepers to the keepers and stores."""
 
 from __future__ import annotations
 
@@ -20,43 +20,46 @@
 
 log = logging.getLogger(__name__)
 
-# Between two tries to find a leader; an election takes some hundred ms.
-_RETRY_S = 0.04
-# A keeper that was not reached for so long and that no other one names is
-# gone for good.
-_FORGET_S = 30.0
-# One question to one keeper: a sync on a slow disk, twice the way between
-# regions, and room. After that another may lead.
-_ONE_ASK_S = 0.7
+# Between two attempts to reach the leader; an election takes some hundred ms.
+_RETRY_DELAY_S = 0.04
+# A host that was not connected for so long counts as removed. Its link is made
+# anew if another host still names it.
+_FORGET_AFTER_S = 30.0
+# Longest wait for one ask to one keeper: a sync on a slow disk, a round trip
+# between regions, and some reserve. After that another keeper may lead.
+_SINGLE_ASK_TIMEOUT_S = 0.7
 
 
 @dataclasses.dataclass
 class Host:
-    """A keeper and the stream to it.
+    """A keeper or a store, and the link to it.
 
     Attributes:
-        info: its newest introduction, None before the first.
-        seen_s: monotonic time at which it was last connected.
-        asks: numbers of asks under way that only a leader answers.
+        info: its latest introduction, None before the first.
+        last_connected_s: monotonic time at which it was last connected.
+        leader_ask_ids: ids of the pending asks that only a leader answers.
     """
 
     link: links.PeerLink
     info: protocol.HostInfo | None = None
-    seen_s: float = 0.0
-    asks: set[int] = dataclasses.field(default_factory=set)
+    last_connected_s: float = 0.0
+    leader_ask_ids: set[int] = dataclasses.field(default_factory=set)
 
     @property
     def is_connected(self) -> bool:
-        """Whether there is a stream now."""
+        """Whether the link has a stream now."""
         return self.link.connected.is_set()
 
 
 class Keepers:
-    """Streams to all keepers, found from a few seeds.
+    """Links to all keepers and stores, which it finds from a few seeds.
 
     Args:
-        hello: how this process introduces itself.
-        on_message: called with what a keeper says unasked.
+        hello: introduces this process to them.
+        on_message: called with each message that answers no ask.
+
+    Attributes:
+        retiring: identities of the stores that are being emptied.
     """
 
     def __init__(
@@ -72,7 +75,7 @@
         self.retiring: frozenset[str] = frozenset()
 
     def add(self, addresses: Iterable[str]) -> None:
-        """Connects to keepers by their peer addresses."""
+        """Connects to the hosts at these peer addresses."""
         for address in addresses:
             if address in self._hosts or address == self._hello.address:
                 continue
@@ -83,17 +86,17 @@
                 functools.partial(self._handle, address),
                 link="to-keeper",
             )
-            host = Host(link, seen_s=time.monotonic())
+            host = Host(link, last_connected_s=time.monotonic())
             self._hosts[address] = host
             host.link.start()
 
     async def stop(self) -> None:
-        """Closes all streams."""
+        """Closes all links."""
         for host in self._hosts.values():
             await host.link.stop()
 
     def connected(self) -> list[Host]:
-        """Returns the keepers that can be asked now."""
+        """Returns the connected hosts that have introduced themselves."""
         return [
             host
             for host in self._hosts.values()
@@ -101,106 +104,110 @@
         ]
 
     def by_node(self, node: str) -> Host | None:
-        """Returns a keeper by its identity, None where it isn't connected."""
+        """Returns a host by its identity, None if it isn't connected."""
         for host in self.connected():
             if host.info is not None and host.info.node == node:
                 return host
         return None
 
     def by_address(self, address: str) -> Host | None:
-        """Returns a keeper by its peer address, None where not connected."""
+        """Returns a host by its peer address, None if it isn't connected."""
         host = self._hosts.get(address)
         return host if host is not None and host.is_connected else None
 
     @property
     def leader(self) -> str:
-        """Peer address of the leader, empty where not known."""
+        """Peer address of the leader, "" while it is unknown."""
         return self._leader
 
     def gateway_count(self) -> int:
-        """Returns how many gateways the keepers know; 0 at first."""
+        """Returns the largest gateway count that a host reports, or 0."""
         counts = [h.info.gateways for h in self.connected() if h.info]
         return max(counts, default=0)
 
     def tick(self) -> None:
-        """Forgets keepers that are gone for good."""
+        """Drops the hosts that were not connected for a long time."""
         now = time.monotonic()
         for address, host in list(self._hosts.items()):
             if host.is_connected:
-                host.seen_s = now
-            elif now - host.seen_s > _FORGET_S:
-                log.info("keeper forgotten", extra={"peer": address})
+                host.last_connected_s = now
+            elif now - host.last_connected_s > _FORGET_AFTER_S:
+                log.info(
+                    "dropped the link to a lost host", extra={"peer": address}
+                )
                 del self._hosts[address]
-                # The task ends by itself; nobody waits for it.
+                # Nothing needs to wait for this task.
                 stopping = asyncio.ensure_future(host.link.stop())
                 stopping.add_done_callback(lambda _: None)
 
     async def ask(
-        self, host: Host, make: Callable[[int], Any], wait_s: float
+        self, host: Host, make_message: Callable[[int], Any], wait_s: float
     ) -> Any:
-        """Asks one keeper.
+        """Sends a message to one host and waits for the reply.
 
         Args:
-            host: whom to ask.
-            make: returns the message for a number that correlates the reply.
+            host: receives the message.
+            make_message: returns the message with the given ask id.
             wait_s: longest wait.
 
         Raises:
-            PeerLostError: no reply came; the keeper may or may not have acted.
+            PeerLostError: there was no reply in time; the host may or may not
+                have handled the message.
         """
-        return await host.link.ask(make(links.next_ask_id()), wait_s)
+        return await host.link.ask(make_message(links.next_ask_id()), wait_s)
 
     async def ask_leader(
-        self, make: Callable[[int], Any], wait_s: float
+        self, make_message: Callable[[int], Any], wait_s: float
     ) -> Any:
-        """Asks the leader, whoever that is by then.
+        """Sends a message to the leader and waits for the reply, with retries.
 
-        The message must be one that may be applied twice: where a leader dies
-        after it has acted, the next one is asked the same.
+        The message must be idempotent: if a leader crashes after it has handled
+        the message, the next leader gets the same message.
 
         Raises:
-            PeerLostError: there was no answer in time.
+            PeerLostError: there was no reply in time.
         """
-        until = time.monotonic() + wait_s
-        why = "no leader is known"
-        while (left := until - time.monotonic()) > 0:
+        deadline = time.monotonic() + wait_s
+        last_error = "no leader is known"
+        while (left_s := deadline - time.monotonic()) > 0:
             host = self.by_address(self._leader)
             if host is not None:
                 try:
-                    reply = await self._ask_once(
-                        host, make, min(left, _ONE_ASK_S)
+                    reply = await self._ask_while_leading(
+                        host, make_message, min(left_s, _SINGLE_ASK_TIMEOUT_S)
                     )
                 except PeerLostError as exc:
-                    why = str(exc)
+                    last_error = str(exc)
                 else:
                     if not isinstance(reply, protocol.Refused):
                         return reply
-                    why = reply.reason
-            await asyncio.sleep(_RETRY_S)
-        raise PeerLostError(why)
+                    last_error = reply.reason
+            await asyncio.sleep(_RETRY_DELAY_S)
+        raise PeerLostError(last_error)
 
-    async def _ask_once(
-        self, host: Host, make: Callable[[int], Any], wait_s: float
+    async def _ask_while_leading(
+        self, host: Host, make_message: Callable[[int], Any], wait_s: float
     ) -> Any:
-        """Asks a leader until it answers or another one leads.
+        """Asks a leader; waits until it replies or another keeper leads.
 
-        A leader whose host is frozen keeps its stream: only a message from the
-        next one reveals it. Waiting on would cost each turn under way the
-        rest of one ask's time on top of the election.
+        The stream to a frozen leader stays open, so only a message from the
+        next leader shows that it no longer leads. If the ask went on waiting,
+        each turn in progress would lose the rest of the ask's timeout in
+        addition to the election.
         """
-        number = links.next_ask_id()
-        host.asks.add(number)
+        ask_id = links.next_ask_id()
+        host.leader_ask_ids.add(ask_id)
         try:
-            return await host.link.ask(make(number), wait_s)
+            return await host.link.ask(make_message(ask_id), wait_s)
         finally:
-            host.asks.discard(number)
+            host.leader_ask_ids.discard(ask_id)
 
-    def _give_up_asks(self) -> None:
-        """Ends the waits for replies of keepers that lead no more."""
+    def _abandon_stale_asks(self) -> None:
+        """Fails the pending asks to keepers that no longer lead."""
         for address, host in self._hosts.items():
             if address != self._leader:
-                for number in host.asks:
-                    host.link.abandon_ask(number)
+                for ask_id in host.leader_ask_ids:
+                    host.link.abandon_ask(ask_id)
 
     def _handle(self, address: str, message: Any) -> None:
         host = self._hosts.get(address)
@@ -212,9 +219,10 @@
             if message.term >= self._term and message.leader:
                 self._term = message.term
                 self._leader = message.leader
-                self._give_up_asks()
+                self._abandon_stale_asks()
                 self.retiring = frozenset(message.retiring)
             elif not message.term and self._term:
-                # Its disk may be lost: it must not found the system anew.
+                # It may have lost its disk; tells it that the group exists, so
+                # that it does not found a new one.
                 host.link.send(protocol.GroupSeen(term=self._term))
         self._on_message(host, message)
--- a/catkinpin/adapters/peers/streams.py
+++ b/catkinpin/adapters/peers/streams.py
@@ -1,9 +1,9 @@
-"""One end of a long stream: batches, pings, and how old a message can be.
+"""One end of a stream: batches, pings, and a bound on the age of messages.
 
-Pings carry numbers that the other end echoes, so that a receiver knows a time
-of its own before which nothing it receives now can have been sent. A process
-that was stopped and goes on reads messages that lay in its buffers; by the time
-of receipt alone they would seem new.
+Pings carry nonces that the other end echoes. From an echo the receiver knows,
+on its own clock, the earliest time at which a message that arrives now can have
+been sent. The time of receipt alone would mislead: a process that was frozen
+reads old messages from its buffers when it continues.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
 log = logging.getLogger(__name__)
 
-PING_EVERY_S = 0.5
-SILENT_AFTER_S = 1.5
-# A batch that goes out anyway carries a new number after this time.
-_NONCE_EVERY_S = 0.05
+PING_INTERVAL_S = 0.5
+SILENCE_TIMEOUT_S = 1.5
+# A batch carries a new nonce if the last nonce is at least this old.
+_NONCE_INTERVAL_S = 0.05
 _MS_PER_S = 1000
 
 AnyMessage = Any
 
 
 class _Deflate:
-    """Compresses batches, each with all earlier ones as its dictionary.
+    """Compresses batches, each with the earlier batches as its dictionary.
 
-    Events of a token stream differ in one token; alone each would hardly
-    shrink.
+    Events of a token stream differ only in one token, so a batch compressed on
+    its own would shrink little.
     """
 
     def __init__(self) -> None:
@@ -55,154 +55,166 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Encoded:
-    """A message as it travels; many streams may queue the same one.
+class EncodedMessage:
+    """An encoded message, which many streams can queue without a copy.
 
     Attributes:
-        kind: of the message, for the metrics.
+        kind: class name of the message, for the metrics.
     """
 
     kind: str
     data: msgspec.Raw
 
 
-def encode(message: AnyMessage) -> Encoded:
-    """Returns a message as it travels.
+def encode(message: AnyMessage) -> EncodedMessage:
+    """Encodes a message.
 
     Raises:
-        OverflowError, TypeError: it can't be encoded.
+        OverflowError, TypeError: the message can't be encoded.
     """
-    return Encoded(type(message).__name__, msgspec.Raw(codec.encode(message)))
+    return EncodedMessage(
+        type(message).__name__, msgspec.Raw(codec.encode(message))
+    )
 
 
 class Stream:
-    """One end of a stream: an outbox and what is known of the other end.
+    """One end of a stream: a send queue and the state of the other end.
 
     Attributes:
-        hello: how the other end introduced itself.
-        fresh_ms: our monotonic time before which nothing that arrives now can
-            have been sent.
+        hello: the other end's introduction, None before it arrives.
+        closed: whether the stream has ended.
+        earliest_sent_ms: earliest local monotonic time at which a message that
+            arrives now can have been sent.
     """
 
     def __init__(self, link: str, *, compressed: bool = False) -> None:
         self.hello: messages.Hello | None = None
         self.closed = False
-        self.fresh_ms = now_ms()
-        self._link = link
+        self.earliest_sent_ms = now_ms()
+        self._link_label = link
         self._deflate = _Deflate() if compressed else None
-        self._outbox: list[msgspec.Raw] = []
-        self._wake = asyncio.Event()
+        self._send_queue: list[msgspec.Raw] = []
+        self._writer_wakeup = asyncio.Event()
         self._last_received_s = time.monotonic()
         self._nonces = itertools.count(1)
-        self._nonce_at = 0.0
-        self._sent_ms: dict[int, int] = {}
-        self._echo = 0
+        self._last_nonce_s = 0.0
+        self._nonce_sent_ms: dict[int, int] = {}
+        self._nonce_to_echo = 0
 
     def send(self, message: AnyMessage) -> None:
-        """Queues a message; dropped where the stream is closed.
+        """Queues a message, or drops it if the stream is closed.
 
         Raises:
             OverflowError, TypeError: the message can't be encoded.
         """
         if self.closed:
             return
-        # Encoded here, a message that can't be fails whoever sends it. In the
-        # writer it would end the stream, and that again at each resend: one
-        # caller's odd number would cut this process off from the others.
+        # Encodes here so that a message that can't be encoded fails its sender.
+        # In the writer it would end the stream, and again with each resend: one
+        # caller's out-of-range number would disconnect this process.
         self.send_encoded(encode(message))
 
-    def send_encoded(self, message: Encoded) -> None:
-        """Queues a message that was encoded for many streams."""
+    def send_encoded(self, message: EncodedMessage) -> None:
+        """Queues an encoded message, or drops it if the stream is closed."""
         if self.closed:
             return
-        self._outbox.append(self._counted(message))
-        self._wake.set()
+        self._send_queue.append(self._count_bytes(message))
+        self._writer_wakeup.set()
 
     @property
     def queue_length(self) -> int:
-        """How many messages wait; a reader that is slow lets them pile up."""
-        return len(self._outbox)
+        """Number of queued messages; it grows while the other end is slow."""
+        return len(self._send_queue)
 
-    def unpack(self, data: bytes) -> bytes:
-        """Reads a batch, and notes that the other end is alive."""
+    def receive_batch(self, data: bytes) -> bytes:
+        """Decompresses a received batch and resets the silence timeout."""
         self._last_received_s = time.monotonic()
         return self._deflate.unpack(data) if self._deflate else data
 
-    def pinged(self, ping: messages.Ping) -> None:
-        """Takes in a ping."""
-        self._echo = ping.nonce or self._echo
-        if ping.echo in self._sent_ms:
-            self.fresh_ms = self._sent_ms[ping.echo]
-            for nonce in [n for n in self._sent_ms if n <= ping.echo]:
-                del self._sent_ms[nonce]
+    def handle_ping(self, ping: messages.Ping) -> None:
+        """Keeps the ping's nonce to echo, and applies its echo of ours."""
+        self._nonce_to_echo = ping.nonce or self._nonce_to_echo
+        if ping.echo in self._nonce_sent_ms:
+            self.earliest_sent_ms = self._nonce_sent_ms[ping.echo]
+            for nonce in [n for n in self._nonce_sent_ms if n <= ping.echo]:
+                del self._nonce_sent_ms[nonce]
 
-    def silent_s(self) -> float:
-        """Returns how long nothing has arrived."""
+    def silence_s(self) -> float:
+        """Returns the time since the last batch arrived."""
         return time.monotonic() - self._last_received_s
 
     def close(self) -> None:
-        """Ends the stream; its writer and reader stop."""
+        """Closes the stream, which stops its writer and reader."""
         self.closed = True
-        self._wake.set()
+        self._writer_wakeup.set()
 
     async def batches(self) -> AsyncIterator[bytes]:
-        """Yields encoded batches of what waits, until closed."""
+        """Yields batches of the queued messages until the stream is closed.
+
+        Closes the stream once the other end was silent for too long.
+        """
         while not self.closed:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(PING_EVERY_S):
-                    await self._wake.wait()
-            if self.silent_s() > SILENT_AFTER_S:
-                log.warning("peer silent", extra={"peer": str(self.hello)})
+                async with asyncio.timeout(PING_INTERVAL_S):
+                    await self._writer_wakeup.wait()
+            if self.silence_s() > SILENCE_TIMEOUT_S:
+                log.warning("peer is silent", extra={"peer": str(self.hello)})
                 self.close()
                 return
-            batch, self._outbox = self._outbox, []
-            self._wake.clear()
-            yield self._pack([*self._pings(), *batch])
+            batch, self._send_queue = self._send_queue, []
+            self._writer_wakeup.clear()
+            yield self._pack([*self._due_pings(), *batch])
 
-    def _counted(self, message: Encoded) -> msgspec.Raw:
+    def _count_bytes(self, message: EncodedMessage) -> msgspec.Raw:
+        """Counts a message in the metrics; returns its bytes."""
         size = len(message.data)
-        metrics.PEER_BYTES.labels(self._link, message.kind).inc(size)
+        metrics.PEER_BYTES.labels(self._link_label, message.kind).inc(size)
         return message.data
 
-    def _pings(self) -> list[msgspec.Raw]:
-        """Returns the ping that goes before the next batch, if any is due."""
+    def _due_pings(self) -> list[msgspec.Raw]:
+        """Returns the ping to put before the next batch, if one is due."""
         now = time.monotonic()
         nonce = 0
-        if now - self._nonce_at >= _NONCE_EVERY_S:
-            self._nonce_at = now
+        if now - self._last_nonce_s >= _NONCE_INTERVAL_S:
+            self._last_nonce_s = now
             nonce = next(self._nonces)
-            self._sent_ms[nonce] = now_ms()
-        if not nonce and not self._echo:
+            self._nonce_sent_ms[nonce] = now_ms()
+        if not nonce and not self._nonce_to_echo:
             return []
-        echo, self._echo = self._echo, 0
-        return [self._counted(encode(messages.Ping(nonce=nonce, echo=echo)))]
+        echo, self._nonce_to_echo = self._nonce_to_echo, 0
+        return [
+            self._count_bytes(encode(messages.Ping(nonce=nonce, echo=echo)))
+        ]
 
     def _pack(self, batch: list[msgspec.Raw]) -> bytes:
         packed = codec.encode(batch)
         if self._deflate is not None:
             packed = self._deflate.pack(packed)
-        metrics.WIRE_BYTES.labels(self._link).inc(len(packed))
+        metrics.WIRE_BYTES.labels(self._link_label).inc(len(packed))
         return packed
 
 
 def now_ms() -> int:
-    """Returns our monotonic time in milliseconds."""
+    """Returns the local monotonic time in milliseconds."""
     return int(time.monotonic() * _MS_PER_S)
 
 
 def with_local_expiry(
-    grant: messages.Granted, stream: Stream, asked_ms: int = 0
+    grant: messages.Granted, stream: Stream, asked_at_ms: int = 0
 ) -> messages.Granted:
-    """Returns a grant with its expiry on our own monotonic clock.
+    """Returns a grant with its expiry on the local monotonic clock.
 
     Args:
-        grant: as it came.
-        stream: the stream it came on.
-        asked_ms: when we sent the question that it answers, if it does.
+        grant: as received.
+        stream: the stream it arrived on.
+        asked_at_ms: when this process sent the ask that it answers, 0 if it
+            answers none.
     """
     if not grant.expires_ms:
         return grant
-    # The later of two times before which it can't have been sent.
-    since_ms = max(stream.fresh_ms, asked_ms and asked_ms + grant.waited_ms)
-    until_ms = since_ms + grant.expires_ms
+    # It can't have been sent before either time, so the later one counts.
+    not_before_ms = max(
+        stream.earliest_sent_ms, asked_at_ms and asked_at_ms + grant.waited_ms
+    )
+    until_ms = not_before_ms + grant.expires_ms
     return msgspec.structs.replace(grant, until_ms=until_ms)
--- a/catkinpin/adapters/peers/wire.py
+++ b/catkinpin/adapters/peers/wire.py
@@ -1,4 +1,4 @@
-"""Which messages travel between which processes."""
+"""Unions of the messages that each kind of process may receive."""
 
 from __future__ import annotations
 
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -37,7 +37,7 @@
         super().__init__("test")
 
     def read(self) -> list[Any]:
-        read, self._outbox = self._outbox, []
+        read, self._send_queue = self._send_queue, []
         return read
 
 
