--- a/catkinpin/adapters/__init__.py
+++ b/catkinpin/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters: HTTP, streams and disk around the deterministic core."""
+"""Adapters that connect the deterministic core to HTTP, streams and disks."""
--- a/catkinpin/adapters/peers/streams.py
+++ b/catkinpin/adapters/peers/streams.py
@@ -158,7 +158,7 @@
                 async with asyncio.timeout(PING_INTERVAL_S):
                     await self._writer_wakeup.wait()
             if self.silence_s() > SILENCE_TIMEOUT_S:
-                log.warning("peer is silent", extra={"peer": str(self.hello)})
+                log.warning("peer silent", extra={"peer": str(self.hello)})
                 self.close()
                 return
             batch, self._send_queue = self._send_queue, []
--- a/catkinpin/adapters/running.py
+++ b/catkinpin/adapters/running.py
@@ -1,4 +1,4 @@
-"""Runs gateways and keepers, and has them take settings that change."""
+"""Runs gateways, keepers and stores, and reloads their seeds."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 
 log = logging.getLogger(__name__)
 
-# Settings may change without a signal; a read of a small file costs little.
-_SETTINGS_EVERY_S = 2.0
-_MS = 1_000
+# Settings may change without a signal, and reading a small file is cheap.
+_RELOAD_INTERVAL_S = 2.0
+_MS_PER_S = 1_000
 
 
 class ReloadableProcess(Protocol):
-    """A process that takes other seeds while it runs."""
+    """A process whose seeds can change while it runs."""
 
     async def start(self) -> None:
-        """Begins to serve."""
+        """Starts to serve."""
 
     async def stop(self) -> None:
-        """Finishes what is in flight and closes."""
+        """Finishes the requests in flight and closes."""
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """Takes other seeds."""
+        """Replaces the seeds."""
 
 
 def run_gateway(
@@ -61,12 +61,12 @@
     Args:
         cfg: the settings.
         regions: region of each failure domain.
-        codec: translates headers.
-        read_seeds: returns the keepers that the settings name now.
+        codec: translates the headers of requests and answers.
+        read_seeds: returns the seeds in the current settings.
     """
     from catkinpin.adapters.gateway.process import Gateway
 
-    _run(cfg, lambda: Gateway(cfg, regions, codec), read_seeds)
+    _run_process(cfg, lambda: Gateway(cfg, regions, codec), read_seeds)
 
 
 def run_keeper(
@@ -80,12 +80,12 @@
     Args:
         cfg: the settings.
         regions: region of each failure domain.
-        control: returns the handler of servers' and operators' calls.
-        read_seeds: returns the keepers that the settings name now.
+        control: returns the HTTP handler of calls by servers and operators.
+        read_seeds: returns the seeds in the current settings.
     """
     from catkinpin.adapters.keeper.process import Keeper
 
-    _run(cfg, lambda: Keeper(cfg, regions, control), read_seeds)
+    _run_process(cfg, lambda: Keeper(cfg, regions, control), read_seeds)
 
 
 def run_store(cfg: StoreSettings, read_seeds: Callable[[], list[str]]) -> None:
@@ -93,24 +93,24 @@
 
     Args:
         cfg: the settings.
-        read_seeds: returns the keepers that the settings name now.
+        read_seeds: returns the seeds in the current settings.
     """
     from catkinpin.adapters.store.process import Store
 
-    _run(cfg, lambda: Store(cfg), read_seeds)
+    _run_process(cfg, lambda: Store(cfg), read_seeds)
 
 
-def _run(
+def _run_process(
     cfg: RoleSettings,
-    make: Callable[[], ReloadableProcess],
+    make_process: Callable[[], ReloadableProcess],
     read_seeds: Callable[[], list[str]],
 ) -> None:
     logging.basicConfig(level=logging.WARNING, stream=sys.stderr)
     decisions.set_up(cfg.name)
-    # What was loaded stays for good; collections need not look at it.
+    # The loaded modules are never freed, so garbage collections skip them.
     gc.freeze()
     try:
-        uvloop.run(_serve(cfg, make, read_seeds))
+        uvloop.run(_serve(cfg, make_process, read_seeds))
     except CatkinpinError as exc:
         log.critical("%s", exc)
         sys.exit(exits.STORAGE)
@@ -118,14 +118,14 @@
 
 async def _serve(
     cfg: RoleSettings,
-    make: Callable[[], ReloadableProcess],
+    make_process: Callable[[], ReloadableProcess],
     read_seeds: Callable[[], list[str]],
 ) -> None:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    process = make()
+    process = make_process()
     if cfg.metrics_listen:
         await HttpServer(_answer_metrics).start(cfg.metrics_listen)
     await process.start()
@@ -133,18 +133,18 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     while not stop.is_set():
         try:
-            async with asyncio.timeout(_SETTINGS_EVERY_S):
+            async with asyncio.timeout(_RELOAD_INTERVAL_S):
                 await stop.wait()
         except TimeoutError:
             reloader.reload()
     try:
-        async with asyncio.timeout(cfg.stop_timeout_ms / _MS):
+        async with asyncio.timeout(cfg.stop_timeout_ms / _MS_PER_S):
             await process.stop()
     except TimeoutError:
         decisions.note("stopped", "", outcome="cut", reason="took too long")
         os._exit(exits.CUT)
-    # Nothing is left to write; an orderly end of the interpreter would only
-    # take from the time that a stop may take.
+    # Nothing is left to write, and a regular shutdown of the interpreter would
+    # only use up the stop timeout.
     os._exit(exits.OK)
 
 
@@ -154,12 +154,12 @@
 
 
 class SeedReloader:
-    """Takes seeds that have changed; a file that can't be read changes none.
+    """Passes changed seeds to a process.
 
     Args:
-        process: that takes them.
-        seeds: that it was started with.
-        read_seeds: returns the keepers that the settings name now.
+        process: gets the seeds.
+        seeds: the seeds that it was started with.
+        read_seeds: returns the seeds in the current settings.
     """
 
     def __init__(
@@ -173,7 +173,7 @@
         self._seeds = seeds
 
     def reload(self) -> None:
-        """Reads the settings again."""
+        """Reads the settings; keeps the seeds if they can't be read."""
         try:
             seeds = self._read_seeds()
         except (OSError, ValueError, KeyError, TypeError) as exc:
--- a/catkinpin/adapters/tasks.py
+++ b/catkinpin/adapters/tasks.py
@@ -1,4 +1,4 @@
-"""Work that nobody waits for, kept until it ends."""
+"""Background tasks that nothing awaits."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class BackgroundTasks:
-    """Tasks in the background; one that fails says so in the log.
+    """Keeps background tasks until they end, and logs their exceptions.
 
-    The loop holds tasks only weakly: one that nobody keeps may vanish in the
-    middle of its work, and an exception that nobody takes is never seen.
+    The event loop holds only weak references to tasks. Without another
+    reference a task may be garbage-collected before it ends, and an exception
+    that nothing retrieves stays unnoticed.
     """
 
     def __init__(self) -> None:
@@ -25,19 +26,19 @@
     def __len__(self) -> int:
         return len(self._tasks)
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Begins some work."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coro: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        """Starts a coroutine as a task."""
+        task = asyncio.ensure_future(coro)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._handle_end)
         return task
 
     def cancel(self) -> None:
-        """Cancels all that is under way."""
+        """Cancels all tasks that are still running."""
         for task in list(self._tasks):
             task.cancel()
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _handle_end(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("a task failed", exc_info=task.exception())
+            log.error("background task failed", exc_info=task.exception())
