--- a/catkinpin/adapters/keeper/asks.py
+++ b/catkinpin/adapters/keeper/asks.py
@@ -54,15 +54,12 @@
         self._copy_repair = copy_repair
         self._turn_server = turn_server
         self._clock = clock
-        self._commit_timeout_s = commit_timeout_s
+        self._timeout_s = commit_timeout_s
         self._last_unresponsive: list[str] = []
         self._last_published_ms = 0
 
     async def answer(self, stream: links.Stream, message: Any) -> None:
-        """Answers a request of a gateway, a store or another keeper.
-
-        A storage error ends the process.
-        """
+        """Answers a request of a gateway, a store or another keeper."""
         try:
             match message:
                 case protocol.AskBegin():
@@ -72,29 +69,27 @@
                     else:
                         stream.send(began)
                 case protocol.AskFinish():
-                    undecided = await self._turn_requests.finish(message)
-                    self._reply(stream, message.ask, undecided)
+                    error = await self._turn_requests.finish(message)
+                    self._reply(stream, message.ask, error)
                 case protocol.AskRouting():
                     routing = message.routing
-                    undecided = await self._host.set_routing(
-                        routing, self._commit_timeout_s
+                    error = await self._host.set_routing(
+                        routing, self._timeout_s
                     )
-                    self._reply(stream, message.ask, undecided)
+                    self._reply(stream, message.ask, error)
                 case protocol.AskAnnounce():
                     instance = message.instance
-                    undecided = await self._host.announce(
-                        instance, self._commit_timeout_s
-                    )
-                    self._reply(stream, message.ask, undecided)
+                    error = await self._host.announce(instance, self._timeout_s)
+                    self._reply(stream, message.ask, error)
                 case protocol.AskCurrent():
                     self._send_current(stream, message)
                 case protocol.AskRegister():
                     await self._register(stream, message)
                 case protocol.ReportCrash():
-                    undecided = await self._host.report_crash(
-                        message.content, message.server, self._commit_timeout_s
+                    error = await self._host.report_crash(
+                        message.content, message.server, self._timeout_s
                     )
-                    self._reply(stream, message.ask, undecided)
+                    self._reply(stream, message.ask, error)
                 case protocol.ReportUse():
                     name = stream.hello.process if stream.hello else ""
                     update = self._turn_requests.report_use(message, name)
@@ -137,8 +132,8 @@
         outcome = await self._copy_repair.register(message.store)
         if outcome is True:
             self._publisher.publish_info()
-        undecided = outcome if isinstance(outcome, Undecided) else None
-        self._reply(stream, message.ask, undecided)
+        error = outcome if isinstance(outcome, Undecided) else None
+        self._reply(stream, message.ask, error)
 
     async def _answer_retire(
         self, stream: links.Stream, message: protocol.AskRetire
@@ -164,14 +159,14 @@
         stream.send(protocol.Current(ask=message.ask, routing=routing))
 
     def _reply(
-        self, stream: links.Stream, ask: int, undecided: Undecided | None
+        self, stream: links.Stream, ask: int, error: Undecided | None
     ) -> None:
-        if undecided is None:
+        if error is None:
             stream.send(protocol.Done(ask=ask))
             return
         stream.send(
             protocol.Refused(
-                ask=ask, reason=undecided.reason, leader=self._host.group.leader
+                ask=ask, reason=error.reason, leader=self._host.group.leader
             )
         )
 
--- a/catkinpin/adapters/keeper/process.py
+++ b/catkinpin/adapters/keeper/process.py
@@ -93,7 +93,7 @@
         self.address = cfg.peer_listen
         self.node = node.Node(
             _node_config(cfg),
-            self._leader_changed,
+            self._handle_leader_change,
             exits.stop_at_once,
             on_slow_disk=_note_slow_disk,
             on_full_disk=_note_full_disk,
@@ -141,10 +141,10 @@
                 self.cfg.quota_overage,
                 self.cfg.quota_slack,
             ),
-            self._routing_changed,
-            self._servers_changed,
-            self._expired,
-            self._quarantine_changed,
+            self._handle_routing_change,
+            self._handle_server_changes,
+            self._handle_expired_turns,
+            self._handle_quarantine_change,
         )
 
     def _new_ask_handler(self) -> AskHandler:
@@ -174,7 +174,7 @@
         await self._peer_server.start(self.address)
         self.other_hosts.add(self.cfg.seeds)
         await self._http.start(self.cfg.listen)
-        self._tasks.spawn(self._tick())
+        self._tasks.spawn(self._run_periodic_work())
         self._tasks.spawn(self._drop_orphaned_bytes())
         decisions.note(
             "start",
@@ -310,27 +310,28 @@
 
     # Changes to publish.
 
-    def _leader_changed(self, group: Group) -> None:
+    def _handle_leader_change(self, group: Group) -> None:
         decisions.note("leader", "", address=group.leader, term=group.term)
         self._turn_requests.reset()
         self._publisher.publish_info()
 
-    def _routing_changed(self) -> None:
+    def _handle_routing_change(self) -> None:
         self._publisher.publish_routing()
 
-    def _servers_changed(self, instances: list[Instance]) -> None:
-        self._turn_requests.servers_changed(instances)
+    def _handle_server_changes(self, instances: list[Instance]) -> None:
+        self._turn_requests.drop_offline_servers(instances)
         self._publisher.publish_servers(instances)
 
-    def _quarantine_changed(self, contents: list[str]) -> None:
+    def _handle_quarantine_change(self, contents: list[str]) -> None:
         self._publisher.publish_quarantine(contents)
 
-    def _expired(self, attempts: list[str]) -> None:
+    def _handle_expired_turns(self, attempts: list[str]) -> None:
         self.turn_bytes.drop(attempts)
         if self.host.leading:
             self._publisher.publish_expired(attempts)
 
-    async def _tick(self) -> None:
+    async def _run_periodic_work(self) -> None:
+        """Publishes changes; while leading, also detects losses and repairs."""
         ticks = 0
         published_gateways = 0
         while True:
--- a/catkinpin/adapters/keeper/turns.py
+++ b/catkinpin/adapters/keeper/turns.py
@@ -109,7 +109,7 @@
         self._placer.reset()
         self._unresponsive.reset()
 
-    def servers_changed(self, instances: Iterable[Instance]) -> None:
+    def drop_offline_servers(self, instances: Iterable[Instance]) -> None:
         """Drops the placements on servers that are offline."""
         for instance in instances:
             if instance.state.is_offline:
--- a/catkinpin/adapters/peers/__init__.py
+++ b/catkinpin/adapters/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Streams of messages between our own processes."""
+"""Streams of messages between the processes of the system."""
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -1,4 +1,4 @@
-"""A gateway's asks to the leader, on real sockets."""
+"""Tests asks of a gateway to the leading keeper, on real sockets."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Well below the time for which one ask waits for its reply.
-_AT_ONCE_S = 0.35
+# Well below the timeout of a single ask.
+_MAX_FAILOVER_S = 0.35
 
 
 class _Keeper:
-    """A keeper that says who leads, and answers where a test wants it to."""
+    """A fake keeper that reports a leader and optionally answers asks."""
 
     def __init__(self, *, answers: bool) -> None:
-        self.asked = 0
-        # How often it heard that there was a leader.
-        self.seen = 0
+        self.ask_count = 0
+        # Number of GroupSeen messages received.
+        self.group_seen_count = 0
         self.address = ""
         self.leader = ""
         self.term = 1
@@ -40,7 +40,7 @@
     async def stop(self) -> None:
         await self._server.stop()
 
-    def tell(self) -> None:
+    def send_info(self) -> None:
         info = protocol.HostInfo(
             node=self.address,
             address=self.address,
@@ -55,22 +55,26 @@
 
     def _handle(self, stream: links.Stream, message: Any) -> None:
         if isinstance(message, messages.Hello):
-            self.tell()
+            self.send_info()
             return
         if isinstance(message, protocol.GroupSeen):
-            self.seen += 1
+            self.group_seen_count += 1
             return
-        self.asked += 1
+        self.ask_count += 1
         self.on_asked()
         if self._answers:
             stream.send(protocol.Done(ask=message.ask))
 
 
 class GroupKnownTest(base.TestCase):
-    """A keeper that lost its disk, and processes that knew its group."""
+    """A keeper that lost its disk, and a process that knows its group."""
 
     def test_keeper_without_a_leader_hears_that_there_was_one(self) -> None:
-        """Guards against a system that is founded over one that exists."""
+        """Guards against a second system that is founded beside the first.
+
+        A keeper that lost its disk would found a new group if the processes
+        that know the existing group did not tell it.
+        """
 
         async def main() -> None:
             old, empty = _Keeper(answers=True), _Keeper(answers=True)
@@ -78,20 +82,20 @@
             for keeper in (old, empty):
                 await keeper.start()
             old.leader = old.address
-            known = keepers.Keepers(GATEWAY_HELLO)
-            known.add([old.address])
+            links_to_keepers = keepers.Keepers(GATEWAY_HELLO)
+            links_to_keepers.add([old.address])
 
-            async def knows() -> bool:
-                return bool(known.leader)
+            async def knows_leader() -> bool:
+                return bool(links_to_keepers.leader)
 
-            async def told() -> bool:
-                return empty.seen == 1
+            async def was_told() -> bool:
+                return empty.group_seen_count == 1
 
-            await base.until(knows, "a leader is known")
-            self.assertEqual(0, old.seen)
-            known.add([empty.address])
-            await base.until(told, "the keeper is told")
-            await known.stop()
+            await base.until(knows_leader, "a leader is known")
+            self.assertEqual(0, old.group_seen_count)
+            links_to_keepers.add([empty.address])
+            await base.until(was_told, "the keeper is told")
+            await links_to_keepers.stop()
             for keeper in (old, empty):
                 await keeper.stop()
 
@@ -99,44 +103,45 @@
 
 
 class LeaderTest(base.TestCase):
-    """Leaders that change under an ask."""
+    """Leaders that change while an ask is pending."""
 
     def test_ask_to_a_frozen_leader_goes_to_the_next_one(self) -> None:
-        """The leader's host freezes with asks of turns under way.
+        """Guards against asks that wait for the reply of a frozen leader.
 
-        Another keeper is elected in less than a second. Turns that wait on
-        for the frozen one's reply would lose as much time again.
+        The leader's host freezes while asks are pending, and another keeper is
+        elected in less than a second. Turns whose asks wait for the frozen
+        leader's reply would lose as much time again.
         """
 
         async def main() -> None:
-            frozen, fresh = _Keeper(answers=False), _Keeper(answers=True)
+            frozen, next_leader = _Keeper(answers=False), _Keeper(answers=True)
             await frozen.start()
-            await fresh.start()
-            frozen.leader = fresh.leader = frozen.address
+            await next_leader.start()
+            frozen.leader = next_leader.leader = frozen.address
 
-            def elected() -> None:
-                fresh.leader = fresh.address
-                fresh.term = 2
-                fresh.tell()
+            def elect_next() -> None:
+                next_leader.leader = next_leader.address
+                next_leader.term = 2
+                next_leader.send_info()
 
-            frozen.on_asked = elected
-            asker = keepers.Keepers(GATEWAY_HELLO)
-            asker.add([frozen.address, fresh.address])
+            frozen.on_asked = elect_next
+            links_to_keepers = keepers.Keepers(GATEWAY_HELLO)
+            links_to_keepers.add([frozen.address, next_leader.address])
 
-            async def known() -> bool:
-                return len(asker.connected()) == 2
+            async def both_connected() -> bool:
+                return len(links_to_keepers.connected()) == 2
 
-            await base.until(known, "both keepers are connected")
-            begun = time.monotonic()
-            reply = await asker.ask_leader(
+            await base.until(both_connected, "both keepers are connected")
+            begun_s = time.monotonic()
+            reply = await links_to_keepers.ask_leader(
                 lambda ask: protocol.AskCurrent(ask=ask), 3.0
             )
-            took_s = time.monotonic() - begun
+            took_s = time.monotonic() - begun_s
             self.assertIsInstance(reply, protocol.Done)
-            self.assertEqual((1, 1), (frozen.asked, fresh.asked))
-            self.assertLess(took_s, _AT_ONCE_S)
-            await asker.stop()
+            self.assertEqual((1, 1), (frozen.ask_count, next_leader.ask_count))
+            self.assertLess(took_s, _MAX_FAILOVER_S)
+            await links_to_keepers.stop()
             await frozen.stop()
-            await fresh.stop()
+            await next_leader.stop()
 
         self.run_async(main())
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -1,7 +1,7 @@
-"""What a keeper publishes to many gateways, without a network.
+"""Tests what a keeper sends to many gateways, without a network.
 
-The pattern: thousands of servers announce themselves at once, or all gateways
-connect at once, as after a start of everything.
+The load is that of a start of the whole system: thousands of servers announce
+themselves at once, and all gateways connect at once.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 _SERVERS = 3_000
 _GATEWAYS = 250
-_RECORDS_A_SYNC = 30
+_RECORDS_PER_SYNC = 30
 # A keeper's host has 296 MB for all that it does.
 _MAX_BYTES = 32 * 1024 * 1024
 
@@ -31,18 +31,18 @@
 
 
 class _Stream(Stream):
-    """A stream whose queue a test reads, or leaves to grow."""
+    """A stream whose send queue grows until a test reads it."""
 
     def __init__(self) -> None:
         super().__init__("test")
 
     def read(self) -> list[Any]:
-        read, self._send_queue = self._send_queue, []
-        return read
+        queued, self._send_queue = self._send_queue, []
+        return queued
 
 
 class ServerUpdatesTest(base.TestCase):
-    """Memory and messages, by servers and gateways."""
+    """Memory and messages for many servers and gateways."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -57,7 +57,7 @@
             for number in range(count):
                 one = instance(f"s{number}", address=f"10.0.0.1:{number}")
                 self.updates.add_changed(self.state.fleet.apply(one))
-                if number % _RECORDS_A_SYNC == _RECORDS_A_SYNC - 1:
+                if number % _RECORDS_PER_SYNC == _RECORDS_PER_SYNC - 1:
                     await asyncio.sleep(0)
                     await asyncio.sleep(0)
                     read()
@@ -66,14 +66,14 @@
 
         asyncio.run(main())
 
-    def _view(self, raws: list[Any]) -> View:
+    def _view(self, encoded: list[Any]) -> View:
         view = View(clock.system_clock(), lambda _: None)
-        for raw in raws:
-            view.handle(_decoder.decode(raw))
+        for message in encoded:
+            view.handle(_decoder.decode(message))
         return view
 
     def test_memory_of_a_start_fits_a_keeper(self) -> None:
-        """Guards against a keeper that ends for what waits for gateways."""
+        """Guards against a keeper that runs out of memory for send queues."""
         tracemalloc.start()
         try:
             self._announce(_SERVERS)
@@ -85,21 +85,23 @@
         self.assertLess(peak, _MAX_BYTES)
 
     def test_changes_of_one_turn_are_one_message_for_all(self) -> None:
-        """Guards against a copy of each change for each gateway."""
-        self._announce(_RECORDS_A_SYNC)
+        """Guards against encoding each change for each gateway."""
+        self._announce(_RECORDS_PER_SYNC)
         first = self.streams[0].read()
         self.assertEqual(1, len(first))
         for stream in self.streams[1:]:
             self.assertIs(first[0], stream.read()[0])
-        self.assertEqual(_RECORDS_A_SYNC, len(self._view(first).fleet.servers))
+        self.assertEqual(
+            _RECORDS_PER_SYNC, len(self._view(first).fleet.servers)
+        )
 
     def test_slow_gateway_gets_all_servers_once_it_has_caught_up(self) -> None:
-        """Guards against a queue that grows, and against changes missed."""
+        """Guards against unbounded send queues and missed changes."""
         slow = self.streams[0]
         read: list[Any] = []
         self._announce(_SERVERS)
         self.updates.send_to_slow_gateways()
-        self.assertLess(slow.queue_length, _SERVERS // _RECORDS_A_SYNC)
+        self.assertLess(slow.queue_length, _SERVERS // _RECORDS_PER_SYNC)
         read += slow.read()
         self.updates.send_to_slow_gateways()
         read += slow.read()
@@ -109,17 +111,17 @@
         self.assertEqual([], slow.read())
 
     def test_gateway_that_keeps_up_gets_each_change(self) -> None:
-        """Guards against a fall-back to all servers without need."""
+        """Guards against sending all servers without need."""
         read: list[Any] = []
         self._announce(_SERVERS, lambda: read.extend(self.streams[0].read()))
         self.updates.send_to_slow_gateways()
         read += self.streams[0].read()
-        kinds = {type(_decoder.decode(raw)) for raw in read}
+        kinds = {type(_decoder.decode(message)) for message in read}
         self.assertEqual({protocol.ServersUpdate}, kinds)
         self.assertEqual(_SERVERS, len(self._view(read).fleet.servers))
 
     def test_all_servers_follow_each_change(self) -> None:
-        """Guards against a new gateway that hears of an earlier state."""
+        """Guards against sending an outdated state to a new gateway."""
         stream = self.streams[0]
         self._announce(2)
         stream.read()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Work in the background."""
+"""Tests background tasks."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class TasksTest(base.TestCase):
-    """What becomes of work that nobody waits for."""
+    """Tasks that nothing awaits."""
 
     def test_failure_is_written_to_the_log(self) -> None:
-        """A background task fails: nobody awaits it, so nobody would know."""
+        """Guards against failures that go unnoticed as nothing awaits them."""
 
         async def fails() -> None:
             raise ValueError("broken")
--- a/tests/test_turnrequests.py
+++ b/tests/test_turnrequests.py
@@ -1,4 +1,4 @@
-"""Begins and finishes at the keeper that leads, and the servers it names."""
+"""Tests begins and finishes at the leading keeper, and server choice."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 class _Host:
-    """Stands in for the control group: commits what it is told to."""
+    """A fake control group: each proposal has the outcome that a test sets."""
 
     def __init__(self) -> None:
         self.state = types.SimpleNamespace(fleet=Fleet(), ledger=Ledger())
         self.quotas = Quotas(QuotaTolerance())
-        self.counted: list[str] = []
-        self.out: Outcome | Undecided = Outcome()
+        self.counted_attempts: list[str] = []
+        self.outcome: Outcome | Undecided = Outcome()
         for number in range(4):
             self.state.fleet.apply(instance(f"s{number}"))
 
@@ -47,14 +47,14 @@
         return True
 
     def count_turn(self, begin: Begin) -> None:
-        self.counted.append(begin.attempt)
+        self.counted_attempts.append(begin.attempt)
         self.quotas.count_turn(begin.account, 1, turns=0)
 
     def count_use(self, use: AccountUse) -> None:
         self.quotas.count_use(use, 1)
 
     async def propose(self, body: Any, wait_s: float) -> Outcome | Undecided:
-        return self.out
+        return self.outcome
 
 
 def _requests(host: _Host) -> TurnRequests:
@@ -63,7 +63,7 @@
     )
 
 
-def _ask(
+def _ask_begin(
     attempt: str, *, place: bool = True, account: str = ""
 ) -> protocol.AskBegin:
     begin = Begin(
@@ -86,7 +86,7 @@
     return protocol.AskBegin(ask=1, begin=begin, place=turn if place else None)
 
 
-def _finish(attempt: str) -> protocol.AskFinish:
+def _ask_finish(attempt: str) -> protocol.AskFinish:
     finish = Finish(
         attempt=attempt,
         program="p",
@@ -100,7 +100,7 @@
 
 
 class TurnRequestsTest(base.TestCase):
-    """What the reply to a begin names, and when a turn counts no more."""
+    """The server in the reply to a begin, and when a turn stops counting."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -111,61 +111,68 @@
         return asyncio.run(self.requests.begin(message))
 
     def test_begin_names_a_server_that_is_ready(self) -> None:
-        """Guards against names of servers that drain."""
+        """Guards against choosing a server that drains."""
         for number in range(1, 4):
-            known = instance(
+            draining = instance(
                 f"s{number}", state=ServerState.DRAINING, sequence=2
             )
-            self.host.state.fleet.apply(known)
-        self.assertEqual("s0", self._begin(_ask("t")).placed)
+            self.host.state.fleet.apply(draining)
+        self.assertEqual("s0", self._begin(_ask_begin("t")).placed)
 
     def test_gateway_that_asks_for_no_server_gets_no_name(self) -> None:
-        """Guards against plain streams that count at model servers."""
-        self.assertEqual("", self._begin(_ask("t", place=False)).placed)
+        """Guards against counting plain streams as load of model servers."""
+        self.assertEqual("", self._begin(_ask_begin("t", place=False)).placed)
 
     def test_denied_turn_gets_no_server(self) -> None:
-        """Guards against turns that count although they never run."""
-        self.host.out = Outcome(denial=Denial.BUDGET_SPENT)
-        self.assertEqual("", self._begin(_ask("t")).placed)
+        """Guards against counting turns that never run."""
+        self.host.outcome = Outcome(denial=Denial.BUDGET_SPENT)
+        self.assertEqual("", self._begin(_ask_begin("t")).placed)
 
     def test_keeper_that_does_not_lead_names_no_server(self) -> None:
-        """Guards against two leaders that place by halves of the truth."""
-        self.host.out = Undecided("not the leader")
-        self.assertIsInstance(self._begin(_ask("t")), Undecided)
+        """Guards against two keepers that place turns at the same time.
+
+        Each would count only its own turns as load.
+        """
+        self.host.outcome = Undecided("not the leader")
+        self.assertIsInstance(self._begin(_ask_begin("t")), Undecided)
 
     def test_finish_that_is_not_committed_still_frees_its_server(self) -> None:
-        """Guards against servers that seem full after a lost quorum."""
-        names = [self._begin(_ask(f"t{n}")).placed for n in range(4)]
-        self.host.out = Undecided("no quorum in time")
+        """Guards against servers that seem full after a quorum was lost."""
+        names = [self._begin(_ask_begin(f"t{n}")).placed for n in range(4)]
+        self.host.outcome = Undecided("no quorum in time")
         for number in range(4):
-            asyncio.run(self.requests.finish(_finish(f"t{number}")))
-        self.host.out = Outcome()
-        # All counts are back at none, so the holder of the prompt is free.
-        self.assertIn(self._begin(_ask("t9")).placed, names)
+            asyncio.run(self.requests.finish(_ask_finish(f"t{number}")))
+        self.host.outcome = Outcome()
+        # All counts are 0 again, so the server with the cached prompt is free.
+        self.assertIn(self._begin(_ask_begin("t9")).placed, names)
 
     def test_change_of_leaders_forgets_placements(self) -> None:
-        """Guards against a former leader's counts when it leads again."""
-        self._begin(_ask("t"))
+        """Guards against counts from an earlier leadership of a keeper."""
+        self._begin(_ask_begin("t"))
         self.requests.reset()
-        self.assertTrue(self._begin(_ask("t")).placed)
+        self.assertTrue(self._begin(_ask_begin("t")).placed)
 
-    def _limit(self) -> None:
+    def _set_quota(self) -> None:
         quota = Quota(rate_per_s=1, burst=1)
         account = ClientAccount(name="a", quota=quota)
         self.host.quotas.configure([account], 0)
 
     def test_turn_over_its_quota_is_neither_begun_nor_placed(self) -> None:
-        """Guards against servers held for turns that are refused."""
-        self._limit()
-        replies = [self._begin(_ask(f"t{n}", account="a")) for n in range(9)]
-        over = [r for r in replies if r.denial == Denial.QUOTA_USED_UP]
-        self.assertTrue(over)
-        self.assertTrue(all(r.retry_ms > 0 and not r.placed for r in over))
-        self.assertEqual(len(replies) - len(over), len(self.host.counted))
+        """Guards against servers reserved for denied turns."""
+        self._set_quota()
+        replies = [
+            self._begin(_ask_begin(f"t{n}", account="a")) for n in range(9)
+        ]
+        denied = [r for r in replies if r.denial == Denial.QUOTA_USED_UP]
+        self.assertTrue(denied)
+        self.assertTrue(all(r.retry_ms > 0 and not r.placed for r in denied))
+        self.assertEqual(
+            len(replies) - len(denied), len(self.host.counted_attempts)
+        )
 
     def test_report_names_accounts_over_their_quota(self) -> None:
-        """Guards against gateways that go on passing requests on."""
-        self._limit()
+        """Guards against gateways that keep admitting requests over quota."""
+        self._set_quota()
         use = AccountUse(account="a", in_programs=100)
         reply = self.requests.report_use(
             protocol.ReportUse(ask=3, uses=[use]), "g"
