--- a/catkinpin/adapters/keeper/publisher.py
+++ b/catkinpin/adapters/keeper/publisher.py
@@ -48,7 +48,7 @@
         )
 
     def publish_info(self) -> None:
-        """Sends to all processes who this keeper is and which it knows."""
+        """Sends this keeper's identity and known hosts to all processes."""
         self._broadcast(self._host_info())
 
     def publish_info_to_gateways(self) -> None:
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -24,7 +24,7 @@
 _SERVERS = 3_000
 _GATEWAYS = 250
 _RECORDS_PER_SYNC = 30
-# A keeper's host has 296 MB for all that it does.
+# A keeper's host has 296 MB of memory for everything that runs on it.
 _MAX_BYTES = 32 * 1024 * 1024
 
 _decoder = codec.decoder(protocol.FromKeeper)
