--- a/catkinpin/adapters/disk/segments.py
+++ b/catkinpin/adapters/disk/segments.py
@@ -27,9 +27,8 @@
 
 FILE_MAGIC = b"CATKSEG"
 FORMAT_VERSION = 2
-_FRAME_HEADER = struct.Struct(
-    "<4sQII"
-)  # Mark, sequence number, length, CRC-32.
+# Mark, sequence number, payload length, CRC-32.
+_FRAME_HEADER = struct.Struct("<4sQII")
 _FRAME_MARK = b"\xc5FRM"
 FILE_HEADER_BYTES = len(FILE_MAGIC) + 1
 FRAME_HEADER_BYTES = _FRAME_HEADER.size
--- a/catkinpin/adapters/replica/context.py
+++ b/catkinpin/adapters/replica/context.py
@@ -77,10 +77,10 @@
         """Returns the share of the shards that this replica leads."""
 
     def send(self, to: EntryRef, message: Any) -> None:
-        """Sends to an entry; drops the message if the entry has gone."""
+        """Sends to an entry; drops the message if the entry has ended."""
 
     def send_to(self, incarnation: str, message: Any) -> None:
-        """Sends to a process; drops the message if the process has gone."""
+        """Sends to a process; drops the message if the process has ended."""
 
     def entry_streams(self) -> Iterable[links.Stream]:
         """Returns the streams of all entries that are connected."""
--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -416,7 +416,7 @@
             return
         flushes, self._pending_flushes = self._pending_flushes, []
         if was_full:
-            log.info("the disk has room again")
+            log.info("the disk is no longer full")
             self._on_disk_full_changed(False)
         now_ms = self.now_ms()
         for flush in flushes:
--- a/catkinpin/adapters/replica/process.py
+++ b/catkinpin/adapters/replica/process.py
@@ -119,11 +119,11 @@
         return "stopping" if self._stopping else self.node.not_ready()
 
     def send(self, to: leader.EntryRef, message: Any) -> None:
-        """Sends to an entry; drops the message if the entry has gone."""
+        """Sends to an entry; drops the message if the entry has ended."""
         self.send_to(to.incarnation, message)
 
     def send_to(self, incarnation: str, message: Any) -> None:
-        """Sends to a process; drops the message if the process has gone."""
+        """Sends to a process; drops the message if the process has ended."""
         stream = self._streams.get(incarnation)
         if stream is not None:
             stream.send(message)
