--- a/catkinpin/adapters/entry/admin.py
+++ b/catkinpin/adapters/entry/admin.py
@@ -135,4 +135,6 @@
     try:
         return kind.model_validate_json(body)
     except pydantic.ValidationError as exc:
-        raise BadRequestError("body", configuration.describe(exc)) from exc
+        raise BadRequestError(
+            "body", configuration.describe_errors(exc)
+        ) from exc
--- a/catkinpin/adapters/entry/callers.py
+++ b/catkinpin/adapters/entry/callers.py
@@ -358,7 +358,7 @@
         if resp is None and not held:
             held = [
                 json.dumps(chunk).encode()
-                for chunk in chat.chunks_of(final.answer.body)
+                for chunk in chat.completion_chunks(final.answer.body)
             ]
         resp = resp or await _respond(req, begin)
         for data in held:
--- a/catkinpin/adapters/entry/calls.py
+++ b/catkinpin/adapters/entry/calls.py
@@ -97,7 +97,7 @@
             return
         if not self._streams:
             self._streams = True
-            metrics.FIRST_TOKEN.observe(self._now_s() - self._began_s)
+            metrics.FIRST_TOKEN_SECONDS.observe(self._now_s() - self._began_s)
         self.events.put_nowait(fresh)
 
     def end(self, final: Final) -> None:
@@ -169,7 +169,7 @@
         call = RunningCall(asyncio.get_running_loop().time)
         task = asyncio.create_task(self._run(req, call))
         self.running[task] = req
-        metrics.IN_FLIGHT.set(len(self.running))
+        metrics.CALLS_IN_FLIGHT.set(len(self.running))
         task.add_done_callback(self._done)
         return call
 
@@ -225,7 +225,7 @@
 
     def _done(self, task: asyncio.Task[None]) -> None:
         self.running.pop(task, None)
-        metrics.IN_FLIGHT.set(len(self.running))
+        metrics.CALLS_IN_FLIGHT.set(len(self.running))
 
     async def _run(self, req: CallRequest, call: RunningCall) -> None:
         loop = asyncio.get_running_loop()
@@ -238,26 +238,26 @@
                 _refusal(Reason.DEADLINE, "the deadline passed", call.verdict)
             ),
         )
-        with tracing.hop("call", req.begin.traceparent) as hop:
-            hop.note("program", req.begin.key.program)
-            hop.note("request_id", req.begin.key.request_id)
+        with tracing.span("call", req.begin.traceparent) as span:
+            span.note("program", req.begin.key.program)
+            span.note("request_id", req.begin.key.request_id)
             try:
-                final = await self._to_the_end(req, call, hop.traceparent)
+                final = await self._to_the_end(req, call, span.traceparent)
             except Exception:
-                fields = _log_fields(req, hop.trace_id)
+                fields = _log_fields(req, span.trace_id)
                 log.exception("call failed", extra=fields)
                 final = _refusal(
                     Reason.INTERNAL, "internal error", Verdict.MAY_HAVE_RUN
                 )
             call.end(final)
             timer.cancel()
-            self._account(req, call, hop, loop.time() - began)
+            self._account(req, call, span, loop.time() - began)
 
     def _account(
         self,
         req: CallRequest,
         call: RunningCall,
-        hop: tracing.Hop,
+        span: tracing.Span,
         seconds: float,
     ) -> None:
         """Counts a call that has ended, and logs one that was refused."""
@@ -269,13 +269,13 @@
             log.info(
                 "call refused",
                 extra={
-                    **_log_fields(req, hop.trace_id),
+                    **_log_fields(req, span.trace_id),
                     "reason": final.reason,
                     "verdict": verdict,
                     "text": final.text,
                 },
             )
-        hop.note("verdict", verdict)
+        span.note("verdict", verdict)
         metrics.CALLS.labels(req.begin.kind, verdict).inc()
         metrics.CALL_SECONDS.observe(seconds)
 
@@ -286,7 +286,7 @@
         deadline = loop.time() + req.begin.deadline_ms / _MS_PER_S
         group = sharding.group_of(req.begin.key.program_key, self._shard_count)
         try:
-            with tracing.hop("begin", traceparent):
+            with tracing.span("begin", traceparent):
                 reply = await self._begin(group, req, deadline)
             while isinstance(reply, messages.Granted):
                 if self._dispatcher.grants.knows(reply.attempt):
@@ -309,7 +309,7 @@
                     finish = outcomes.failed(reply, Reason.INTERNAL, text)
                 call.verdict = max(before, finish.verdict, key=_certainty)
                 try:
-                    with tracing.hop("finish", traceparent):
+                    with tracing.span("finish", traceparent):
                         reply = await self._finish(group, finish)
                 finally:
                     self._dispatcher.grants.over(finish.attempt)
--- a/catkinpin/adapters/entry/configured.py
+++ b/catkinpin/adapters/entry/configured.py
@@ -56,7 +56,7 @@
         self.configuration = cfg
         self.revision = update.revision
         self.accounts = {a.key_sha256: a.name for a in cfg.accounts.values()}
-        metrics.REVISION.set(update.revision)
+        metrics.CONFIGURATION_REVISION.set(update.revision)
         return True
 
 
--- a/catkinpin/adapters/entry/dispatch.py
+++ b/catkinpin/adapters/entry/dispatch.py
@@ -127,10 +127,10 @@
         work: Callable[[dict[str, str]], Awaitable[Finish]],
     ) -> Finish:
         """Runs `work` in a span of its own, to the deadline at most."""
-        with tracing.hop(name, req.traceparent) as hop:
-            hop.note("attempt", grant.attempt)
-            hop.note("server", grant.server.server)
-            headers = _headers(grant, req, hop.traceparent)
+        with tracing.span(name, req.traceparent) as span:
+            span.note("attempt", grant.attempt)
+            span.note("server", grant.server.server)
+            headers = _headers(grant, req, span.traceparent)
             try:
                 async with asyncio.timeout(req.deadline_ms / _MS_PER_S):
                     finish = await work(headers)
@@ -143,7 +143,7 @@
                     Reason.SERVER_FAILED,
                     f"{grant.server.server}: {type(exc).__name__}",
                 )
-            hop.note("verdict", finish.verdict)
+            span.note("verdict", finish.verdict)
         unknown = finish.verdict is Verdict.MAY_HAVE_RUN
         if unknown and req.kind == "model":
             self._cancel(grant)
--- a/catkinpin/adapters/entry/intents.py
+++ b/catkinpin/adapters/entry/intents.py
@@ -73,7 +73,9 @@
     try:
         model = _adapter.validate_json(body)
     except pydantic.ValidationError as exc:
-        raise BadRequestError("intent", configuration.describe(exc)) from exc
+        raise BadRequestError(
+            "intent", configuration.describe_errors(exc)
+        ) from exc
     fields = model.model_dump(exclude={"kind"})
     match model:
         case _Move():
--- a/catkinpin/adapters/entry/modelcalls.py
+++ b/catkinpin/adapters/entry/modelcalls.py
@@ -57,7 +57,7 @@
         self._gaps = gaps
         self._first_s = first_s
         self._on_data = on_data
-        self._assembler = chat.Assembler()
+        self._assembler = chat.StreamAssembler()
         self._offset = 0
         self._skip = 0
         self._passed = 0
@@ -92,7 +92,7 @@
         began = _now()
         while True:
             before = self._offset
-            if broken.silent:
+            if broken.timed_out:
                 metrics.RETIRED_CONNECTIONS.labels("model").inc()
             try:
                 return await self._read(self._reopen(), first=False)
@@ -100,11 +100,11 @@
                 return self._lost(str(broken), crashed=True)
             except BrokenStreamError as exc:
                 broken = exc
-            if broken.gone:
+            if broken.incarnation_ended:
                 return self._lost(str(broken), crashed=True)
             barren = 0 if self._offset > before else barren + 1
             waits = self._offset == 0 and _now() - began < self._first_s
-            if barren >= _MAX_BARREN and not (waits and broken.silent):
+            if barren >= _MAX_BARREN and not (waits and broken.timed_out):
                 return self._lost(str(broken), crashed=False)
 
     def _lost(self, text: str, *, crashed: bool) -> Finish:
@@ -165,7 +165,7 @@
                 raise BrokenStreamError("the stream ended early")
         except TimeoutError as exc:
             raise BrokenStreamError(
-                "the stream went silent", silent=True
+                "the stream went silent", timed_out=True
             ) from exc
         except backends.UNCONNECTED:
             raise
@@ -190,7 +190,9 @@
             text = backends.error_text(await resp.read())
             return outcomes.not_run(self._grant, Reason.SERVER_REFUSED, text)
         if backends.other_incarnation(self._grant, resp) and not first:
-            raise BrokenStreamError("the server was restarted", gone=True)
+            raise BrokenStreamError(
+                "the server was restarted", incarnation_ended=True
+            )
         if resp.status == outcomes.STATUS_OK:
             return None
         if first and resp.status in _FINAL_STATUS:
--- a/catkinpin/adapters/entry/outcomes.py
+++ b/catkinpin/adapters/entry/outcomes.py
@@ -41,7 +41,7 @@
     )
 
 
-def answered(grant: Granted, assembler: chat.Assembler) -> Finish:
+def answered(grant: Granted, assembler: chat.StreamAssembler) -> Finish:
     """Returns the outcome of a model call that went well."""
     answer = Answer(
         status=STATUS_OK,
--- a/catkinpin/adapters/entry/relays.py
+++ b/catkinpin/adapters/entry/relays.py
@@ -131,7 +131,7 @@
     ) -> Any:
         body = req.body
         if history.known:
-            body = chat.without_messages(body, history.known)
+            body = chat.without_first_messages(body, history.known)
         message = messages.Dispatch(
             ask=links.next_ask(),
             grant=msgspec.structs.replace(grant, history=[]),
@@ -212,7 +212,7 @@
         if not base:
             return []
         held = self._histories.get(base)
-        metrics.RELAY_CACHE.labels("hit" if held else "miss").inc()
+        metrics.RELAY_CACHE_RESULTS.labels("hit" if held else "miss").inc()
         return held
 
     async def _dispatch(
@@ -246,7 +246,7 @@
         """Returns an outcome with the request's messages, for the history."""
         if not finish.messages:
             return finish
-        new = [chat.canonical_raw(message) for message in prompt[skip:]]
+        new = [chat.canonical_from_json(message) for message in prompt[skip:]]
         return msgspec.structs.replace(
             finish, messages=[*new, *finish.messages]
         )
--- a/catkinpin/adapters/http/server.py
+++ b/catkinpin/adapters/http/server.py
@@ -172,7 +172,7 @@
         """Listens and returns the address with its real port."""
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
-        sock = listening.claim(address)
+        sock = listening.claim_socket(address)
         if sock is not None:
             self._server = await loop.create_server(
                 lambda: Connection(self), sock=sock, backlog=listening.BACKLOG
--- a/catkinpin/adapters/keeper/asks.py
+++ b/catkinpin/adapters/keeper/asks.py
@@ -105,7 +105,7 @@
                 case protocol.CopyTurns():
                     await self._turns.copy_turns(stream, message)
         except StorageError as exc:
-            exits.stop_at_once(exc)
+            exits.exit_immediately(exc)
 
     def _publish_unresponsive(self) -> None:
         """Tells all gateways of unresponsive servers, again while they are."""
--- a/catkinpin/adapters/keeper/host.py
+++ b/catkinpin/adapters/keeper/host.py
@@ -129,7 +129,7 @@
         if leading:
             self.quotas.count_expected(self.log_ms())
         else:
-            metrics.QUOTA_USED.clear()
+            metrics.QUOTA_USED_SHARE.clear()
             self._give_up("another leads")
 
     def snapshot(self) -> bytes:
@@ -188,9 +188,9 @@
     def _expose_use(self) -> None:
         uses = self.quotas.uses()
         metrics.QUOTA_ACCOUNTS.set(len(uses))
-        metrics.QUOTA_USED.clear()
+        metrics.QUOTA_USED_SHARE.clear()
         for use in uses[:_MAX_EXPOSED]:
-            metrics.QUOTA_USED.labels(use.account).set(use.used_share)
+            metrics.QUOTA_USED_SHARE.labels(use.account).set(use.used_share)
 
     def log_ms(self) -> int:
         """Returns the log's time, which only rises, over all leaders."""
--- a/catkinpin/adapters/keeper/process.py
+++ b/catkinpin/adapters/keeper/process.py
@@ -87,7 +87,7 @@
         self.node = node.Node(
             _node_config(cfg),
             self._leader_changed,
-            exits.stop_at_once,
+            exits.exit_immediately,
             on_slow_disk=_note_slow_disk,
             on_full_disk=_note_full_disk,
         )
@@ -103,7 +103,9 @@
         )
         self._http = HttpServer(control(self))
         self._tasks = Tasks()
-        self._turns = TurnServer(self.bytes, self.others, exits.stop_at_once)
+        self._turns = TurnServer(
+            self.bytes, self.others, exits.exit_immediately
+        )
         self._publisher = publisher.Publisher(
             cfg, self.node, self.host, self._peers
         )
@@ -369,5 +371,5 @@
         Joining(tuple(cfg.seeds), cfg.first_start),
         segment_bytes=_SEGMENT_BYTES,
         timing=_TIMING,
-        begun_ms=clock.process_begun_ms(),
+        begun_ms=clock.process_start_ms(),
     )
--- a/catkinpin/adapters/peers/streams.py
+++ b/catkinpin/adapters/peers/streams.py
@@ -181,7 +181,7 @@
         packed = codec.encode(batch)
         if self._deflate is not None:
             packed = self._deflate.pack(packed)
-        metrics.WIRE_BYTES.labels(self._link).inc(len(packed))
+        metrics.PEER_WIRE_BYTES.labels(self._link).inc(len(packed))
         return packed
 
 
--- a/catkinpin/adapters/replica/founding.py
+++ b/catkinpin/adapters/replica/founding.py
@@ -84,7 +84,7 @@
         self._founder = self._new_founder()
         self._noted: types.WaitStatus | None = None
         self._noted_ms = 0
-        self._since_ms = clock.elapsed_ms()
+        self._since_ms = clock.since_boot_ms()
 
     def _new_founder(self) -> Founder:
         """Returns this replica's part in the founding."""
@@ -100,7 +100,7 @@
             self._address,
             seeds,
             self._identity.record,
-            clock.elapsed_ms(),
+            clock.since_boot_ms(),
             _REPAIRED_TIMING if joining is None else None,
         )
 
@@ -118,7 +118,7 @@
         if self._identity.belongs:
             return
         self._mesh.broadcast(self.info())
-        self._founder.tick(clock.elapsed_ms())
+        self._founder.tick(clock.since_boot_ms())
         self._carry_out()
         self._note_waiting()
 
@@ -151,7 +151,7 @@
             types.Introduction(
                 info.node, info.address, info.empty, info.knows_group
             ),
-            clock.elapsed_ms(),
+            clock.since_boot_ms(),
         )
         self._carry_out()
 
@@ -161,7 +161,7 @@
         if members.members:
             self._mesh.send(message.sender, transport.Found(members=members))
         elif not self._identity.belongs:
-            self._founder.step(message, clock.elapsed_ms())
+            self._founder.step(message, clock.since_boot_ms())
             self._carry_out()
 
     def founded(self, members: Members) -> None:
@@ -209,7 +209,7 @@
 
     def waits_for(self) -> list[str]:
         """Returns the addresses that have not answered."""
-        return list(self._founder.wait_status(clock.elapsed_ms()).seeds)
+        return list(self._founder.wait_status(clock.since_boot_ms()).seeds)
 
     def _known_members(self) -> Members:
         return self._identity.founders or self._members()
@@ -257,7 +257,7 @@
         """
         if self._identity.belongs:
             return
-        now_ms = clock.elapsed_ms()
+        now_ms = clock.since_boot_ms()
         wait_status = self._founder.wait_status(now_ms)
         if (
             wait_status == self._noted
--- a/catkinpin/adapters/replica/groups.py
+++ b/catkinpin/adapters/replica/groups.py
@@ -382,7 +382,7 @@
             return
         if self._elected != self._leading:
             self._leading = self._elected
-            metrics.LEADS.labels(self.name).set(self._leading)
+            metrics.IS_GROUP_LEADER.labels(self.name).set(self._leading)
             self._machine.leadership(self._leading)
 
     def _send(self, to: str, body: messages.GroupMessage) -> None:
--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -124,7 +124,7 @@
         A leader whose host was suspended would otherwise believe in a lease
         that ran out while it slept.
         """
-        return clock.elapsed_ms()
+        return clock.since_boot_ms()
 
     @property
     def is_full(self) -> bool:
--- a/catkinpin/adapters/replica/process.py
+++ b/catkinpin/adapters/replica/process.py
@@ -51,7 +51,7 @@
                 cfg.data_folder, tuple(cfg.replicas), cfg.snapshot_entries
             ),
             self._leader_changed,
-            exits.stop_at_once,
+            exits.exit_immediately,
             first=sharding.CONTROL_GROUP,
         )
         self.shards = {
--- a/catkinpin/adapters/replica/shardhost.py
+++ b/catkinpin/adapters/replica/shardhost.py
@@ -126,7 +126,7 @@
         commands: list[Command] = []
         match message:
             case messages.Begin():
-                with tracing.hop("leader.begin", message.traceparent):
+                with tracing.span("leader.begin", message.traceparent):
                     commands = self.leader.begin(entry, message, now, wall)
             case messages.Finish():
                 commands = self.leader.finish(entry, message, now, wall)
--- a/catkinpin/adapters/running.py
+++ b/catkinpin/adapters/running.py
@@ -113,7 +113,7 @@
         uvloop.run(_serve(cfg, make, read_seeds))
     except CatkinpinError as exc:
         log.critical("%s", exc)
-        sys.exit(exits.STORAGE)
+        sys.exit(exits.STORAGE_ERROR)
 
 
 async def _serve(
@@ -142,7 +142,7 @@
             await process.stop()
     except TimeoutError:
         decisions.note("stopped", "", outcome="cut", reason="took too long")
-        os._exit(exits.CUT)
+        os._exit(exits.STOP_TIMEOUT)
     # Nothing is left to write; an orderly end of the interpreter would only
     # take from the time that a stop may take.
     os._exit(exits.OK)
--- a/catkinpin/adapters/store/process.py
+++ b/catkinpin/adapters/store/process.py
@@ -60,7 +60,7 @@
         self._turns = TurnServer(
             TurnBytes(cfg.data_folder / "turns", ops),
             self.keepers,
-            exits.stop_at_once,
+            exits.exit_immediately,
         )
         self._peers = links.PeerServer(
             protocol.ToKeeper, self._on_message, lambda _: None, link="store"
--- a/catkinpin/chat.py
+++ b/catkinpin/chat.py
@@ -74,7 +74,9 @@
     try:
         return ChatRequest.model_validate_json(body)
     except pydantic.ValidationError as exc:
-        raise BadRequestError("body", configuration.describe(exc)) from exc
+        raise BadRequestError(
+            "body", configuration.describe_errors(exc)
+        ) from exc
 
 
 def canonical_message(message: dict[str, Any]) -> bytes:
@@ -96,7 +98,7 @@
     return [canonical_message(m.model_dump()) for m in request.messages]
 
 
-def canonical_raw(message: bytes) -> bytes:
+def canonical_from_json(message: bytes) -> bytes:
     """Returns the canonical form of a message given as JSON."""
     return canonical_message(json.loads(message))
 
@@ -112,7 +114,7 @@
     return with_fields(body, messages=raws)
 
 
-def without_messages(body: bytes, count: int) -> bytes:
+def without_first_messages(body: bytes, count: int) -> bytes:
     """Returns a request's body without its first `count` messages."""
     return with_fields(body, messages=_messages.decode(body).messages[count:])
 
@@ -138,7 +140,7 @@
     return text + extra + budgets.MESSAGE_OVERHEAD_TOKENS * len(canonical)
 
 
-class Assembler:
+class StreamAssembler:
     """Puts a streamed answer together again.
 
     Attributes:
@@ -228,7 +230,7 @@
     )
 
 
-def chunks_of(completion: bytes) -> list[dict[str, Any]]:
+def completion_chunks(completion: bytes) -> list[dict[str, Any]]:
     """Returns the stream that a stored whole answer would have been."""
     body = json.loads(completion)
     base = {
--- a/catkinpin/cli.py
+++ b/catkinpin/cli.py
@@ -45,7 +45,7 @@
     """Returns an error for a human; all invalid settings at once."""
     cause = exc.__cause__
     if isinstance(cause, pydantic.ValidationError):
-        return settings.problems(cause)
+        return settings.describe_errors(cause)
     return str(exc)
 
 
--- a/catkinpin/clock.py
+++ b/catkinpin/clock.py
@@ -12,16 +12,16 @@
 _NS_PER_MS = 1_000_000
 
 
-def elapsed_ms() -> int:
+def since_boot_ms() -> int:
     """Returns monotonic time that counts a suspended host's sleep, too."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_PER_MS
 
 
 # Taken as this package is loaded, before anything that takes long to load.
-_BEGUN_MS = elapsed_ms()
+_BEGUN_MS = since_boot_ms()
 
 
-def process_begun_ms() -> int:
+def process_start_ms() -> int:
     """Returns when this process began, on the clock of `elapsed_ms`."""
     return _BEGUN_MS
 
--- a/catkinpin/commands/logfiles.py
+++ b/catkinpin/commands/logfiles.py
@@ -11,10 +11,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from catkinpin.joined import Line
+    from catkinpin.joined import DecisionLine
 
 
-def read(logs: tuple[str, ...]) -> Iterator[Line]:
+def read(logs: tuple[str, ...]) -> Iterator[DecisionLine]:
     """Yields the decision lines of files; without one, of standard input."""
     for text in _texts(logs):
         line = joined.parse(text)
--- a/catkinpin/commands/timeline.py
+++ b/catkinpin/commands/timeline.py
@@ -22,7 +22,7 @@
     Args:
         logs: files with lines.
     """
-    found = timeline.restarts(list(logfiles.read(logs)))
+    found = timeline.find_restarts(list(logfiles.read(logs)))
     if not found:
         print("no line records a start", file=sys.stderr)
         sys.exit(exits.FAILED)
--- a/catkinpin/commands/why.py
+++ b/catkinpin/commands/why.py
@@ -10,7 +10,7 @@
 from catkinpin.commands import logfiles
 
 if TYPE_CHECKING:
-    from catkinpin.joined import Line
+    from catkinpin.joined import DecisionLine
 
 _PARTS = (
     ("request", "the request"),
@@ -46,28 +46,30 @@
             print("  " + _text(same, end_ms))
 
 
-def _alike(lines: list[Line]) -> list[list[Line]]:
+def _alike(lines: list[DecisionLine]) -> list[list[DecisionLine]]:
     """Returns lines in groups of what several processes say alike.
 
     All gateways hear of each server; one line for all leaves room for more.
     """
-    groups: dict[str, list[Line]] = {}
+    groups: dict[str, list[DecisionLine]] = {}
     for line in lines:
         said = f"{line.decision} {line.at_ms // _SIMILAR_MS} {_facts(line)}"
         groups.setdefault(said, []).append(line)
     return list(groups.values())
 
 
-def _nearest(groups: list[list[Line]], end_ms: int) -> list[list[Line]]:
+def _nearest(
+    groups: list[list[DecisionLine]], end_ms: int
+) -> list[list[DecisionLine]]:
     by_distance = sorted(groups, key=lambda same: abs(same[0].at_ms - end_ms))
     return sorted(by_distance[:_MAX_LINES], key=lambda same: same[0].at_ms)
 
 
-def _facts(line: Line) -> str:
-    return " ".join(f"{k}={json.dumps(v)}" for k, v in line.facts.items())
+def _facts(line: DecisionLine) -> str:
+    return " ".join(f"{k}={json.dumps(v)}" for k, v in line.fields.items())
 
 
-def _text(same: list[Line], end_ms: int) -> str:
+def _text(same: list[DecisionLine], end_ms: int) -> str:
     line = same[0]
     others = f" and {len(same) - 1} more" if len(same) > 1 else ""
     away_ms = line.at_ms - end_ms
--- a/catkinpin/configuration.py
+++ b/catkinpin/configuration.py
@@ -94,7 +94,7 @@
     try:
         file = _File.model_validate(data)
     except pydantic.ValidationError as exc:
-        problems.append(describe(exc))
+        problems.append(describe_errors(exc))
     problems += _contradictions(data)
     if problems:
         raise BadRequestError("configuration", "\n".join(problems))
@@ -181,7 +181,7 @@
     return problems
 
 
-def describe(exc: pydantic.ValidationError) -> str:
+def describe_errors(exc: pydantic.ValidationError) -> str:
     """Returns every problem of a failed validation, one a line."""
     lines = []
     for problem in exc.errors():
--- a/catkinpin/exceptions.py
+++ b/catkinpin/exceptions.py
@@ -75,16 +75,20 @@
     """A server's stream ended early.
 
     Attributes:
-        silent: nothing came for too long on a connection that stands.
-        gone: the incarnation that ran the attempt is gone.
+        timed_out: nothing arrived for too long on an open connection.
+        incarnation_ended: the incarnation that ran the attempt has ended.
     """
 
     def __init__(
-        self, text: str, *, silent: bool = False, gone: bool = False
+        self,
+        text: str,
+        *,
+        timed_out: bool = False,
+        incarnation_ended: bool = False,
     ) -> None:
         super().__init__(text)
-        self.silent = silent
-        self.gone = gone
+        self.timed_out = timed_out
+        self.incarnation_ended = incarnation_ended
 
 
 class DivergedError(CatkinpinError):
--- a/catkinpin/exits.py
+++ b/catkinpin/exits.py
@@ -9,13 +9,13 @@
 
 OK = 0
 FAILED = 1
-USAGE = 2
-STORAGE = 3
-CUT = 4
-FORCED = 5
+USAGE_ERROR = 2
+STORAGE_ERROR = 3
+STOP_TIMEOUT = 4
+FORCED_STOP = 5
 
 
-def stop_at_once(exc: Exception) -> None:
+def exit_immediately(exc: Exception) -> None:
     """Ends the process at once, without any further message.
 
     After a failed write or sync the disk may hold less than memory says. A
@@ -23,4 +23,4 @@
     """
     log.critical("%s", exc, exc_info=exc)
     logging.shutdown()
-    os._exit(STORAGE)
+    os._exit(STORAGE_ERROR)
--- a/catkinpin/joined.py
+++ b/catkinpin/joined.py
@@ -38,30 +38,30 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Line:
+class DecisionLine:
     """One decision.
 
     Attributes:
         at_ms: Unix time at the process that wrote it.
         process: who wrote it.
         decision: what was decided.
-        facts: everything else that it says.
+        fields: all other fields of the line.
     """
 
     at_ms: int
     process: str
     decision: str
-    facts: dict[str, Any]
+    fields: dict[str, Any]
 
     @property
     def servers(self) -> list[str]:
         """The servers that it names."""
-        named = self.facts.get("servers") or [self.facts.get("server")]
+        named = self.fields.get("servers") or [self.fields.get("server")]
         return [one for one in named if one]
 
 
 @dataclasses.dataclass
-class Story:
+class RequestReport:
     """What is known of one request.
 
     Attributes:
@@ -71,13 +71,13 @@
         system: lines about processes, leaders and routes, near it.
     """
 
-    request: list[Line] = dataclasses.field(default_factory=list)
-    program: list[Line] = dataclasses.field(default_factory=list)
-    servers: list[Line] = dataclasses.field(default_factory=list)
-    system: list[Line] = dataclasses.field(default_factory=list)
+    request: list[DecisionLine] = dataclasses.field(default_factory=list)
+    program: list[DecisionLine] = dataclasses.field(default_factory=list)
+    servers: list[DecisionLine] = dataclasses.field(default_factory=list)
+    system: list[DecisionLine] = dataclasses.field(default_factory=list)
 
 
-def parse(text: str) -> Line | None:
+def parse(text: str) -> DecisionLine | None:
     """Returns a decision line; None for whatever else a process wrote.
 
     A collector may have put a prefix before the JSON object.
@@ -86,37 +86,37 @@
     if start < 0:
         return None
     try:
-        facts = json.loads(text[start:])
-        return Line(
-            at_ms=int(facts.pop("at_ms")),
-            process=str(facts.pop("process")),
-            decision=str(facts.pop("decision")),
-            facts=facts,
+        fields = json.loads(text[start:])
+        return DecisionLine(
+            at_ms=int(fields.pop("at_ms")),
+            process=str(fields.pop("process")),
+            decision=str(fields.pop("decision")),
+            fields=fields,
         )
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
 
 
-def join(lines: Iterable[Line], request: str) -> Story:
+def join(lines: Iterable[DecisionLine], request: str) -> RequestReport:
     """Returns what the lines tell about a request, each part by time."""
     ordered = sorted(lines, key=lambda line: line.at_ms)
-    own = [ln for ln in ordered if ln.facts.get("request") == request]
-    story = Story(request=own)
+    own = [ln for ln in ordered if ln.fields.get("request") == request]
+    story = RequestReport(request=own)
     if not own:
         return story
-    programs = {ln.facts["program"] for ln in own if ln.facts.get("program")}
+    programs = {ln.fields["program"] for ln in own if ln.fields.get("program")}
     servers = {name for ln in own for name in ln.servers}
-    took_ms = max(int(ln.facts.get("took_ms", 0)) for ln in own)
+    took_ms = max(int(ln.fields.get("took_ms", 0)) for ln in own)
     first_ms = own[0].at_ms - took_ms - NEAR_MS
     last_ms = own[-1].at_ms + NEAR_MS
     for line in ordered:
-        if line.facts.get("request") == request:
+        if line.fields.get("request") == request:
             continue
-        if line.facts.get("program") in programs:
+        if line.fields.get("program") in programs:
             story.program.append(line)
         elif not first_ms <= line.at_ms <= last_ms:
             continue
-        elif "request" not in line.facts and servers & set(line.servers):
+        elif "request" not in line.fields and servers & set(line.servers):
             story.servers.append(line)
         elif line.decision in _SYSTEM:
             story.system.append(line)
--- a/catkinpin/listening.py
+++ b/catkinpin/listening.py
@@ -34,6 +34,6 @@
     )
 
 
-def claim(address: str) -> socket.socket | None:
+def claim_socket(address: str) -> socket.socket | None:
     """Returns the socket opened for an address, None if there is none."""
     return _opened.pop(address, None)
--- a/catkinpin/metrics.py
+++ b/catkinpin/metrics.py
@@ -18,7 +18,7 @@
 ATTEMPTS = Counter(
     "catkinpin_attempts_total", "Dispatches to servers.", ["verdict"]
 )
-FIRST_TOKEN = Histogram(
+FIRST_TOKEN_SECONDS = Histogram(
     "catkinpin_first_token_seconds",
     "From a call's arrival to its first event.",
     buckets=_LATENCY_BUCKETS,
@@ -28,8 +28,8 @@
     "From a call's arrival to its last byte.",
     buckets=_LATENCY_BUCKETS,
 )
-IN_FLIGHT = Gauge("catkinpin_calls_in_flight", "Calls not yet answered.")
-REVISION = Gauge(
+CALLS_IN_FLIGHT = Gauge("catkinpin_calls_in_flight", "Calls not yet answered.")
+CONFIGURATION_REVISION = Gauge(
     "catkinpin_configuration_revision", "Revision this process serves under."
 )
 DROPPED_ANSWERS = Counter(
@@ -41,7 +41,7 @@
     "Bytes sent to other processes, before compression.",
     ["link", "kind"],
 )
-WIRE_BYTES = Counter(
+PEER_WIRE_BYTES = Counter(
     "catkinpin_peer_wire_bytes_total",
     "Bytes sent to other processes, as they go out.",
     ["link"],
@@ -51,12 +51,12 @@
     "Connections given up since they had gone silent.",
     ["kind"],
 )
-RELAY_CACHE = Counter(
+RELAY_CACHE_RESULTS = Counter(
     "catkinpin_relay_cache_total",
     "Requests relayed with new messages only, by whether the rest was held.",
     ["result"],
 )
-LEADS = Gauge(
+IS_GROUP_LEADER = Gauge(
     "catkinpin_group_leads", "Whether this replica leads a group.", ["group"]
 )
 FOUNDING_WAITS = Gauge(
@@ -64,7 +64,7 @@
     "Seeds for which the founding of the system waits here.",
     ["seed"],
 )
-QUOTA_USED = Gauge(
+QUOTA_USED_SHARE = Gauge(
     "catkinpin_quota_used_share",
     "Part of its quota that an account used in the last window, by the leader;"
     " the accounts that used most.",
--- a/catkinpin/process.py
+++ b/catkinpin/process.py
@@ -23,9 +23,9 @@
 
 EXIT_OK = exits.OK
 EXIT_FAILED = exits.FAILED
-EXIT_STORAGE = exits.STORAGE
-EXIT_CUT = exits.CUT
-EXIT_FORCED = exits.FORCED
+EXIT_STORAGE_ERROR = exits.STORAGE_ERROR
+EXIT_STOP_TIMEOUT = exits.STOP_TIMEOUT
+EXIT_FORCED_STOP = exits.FORCED_STOP
 
 
 class Stoppable(Protocol):
@@ -50,10 +50,10 @@
         uvloop.run(_serve(make))
     except StopTimeoutError as exc:
         log.error("%s", exc)
-        sys.exit(EXIT_CUT)
+        sys.exit(EXIT_STOP_TIMEOUT)
     except CatkinpinError as exc:
         log.critical("%s", exc)
-        sys.exit(EXIT_STORAGE)
+        sys.exit(EXIT_STORAGE_ERROR)
 
 
 async def _serve(make: Callable[[], Stoppable]) -> None:
@@ -64,7 +64,7 @@
         if stop.is_set():
             # Whoever asks twice no longer wants to wait for what is in flight.
             log.error("asked to stop again; ending at once")
-            os._exit(EXIT_FORCED)
+            os._exit(EXIT_FORCED_STOP)
         stop.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/catkinpin/settings.py
+++ b/catkinpin/settings.py
@@ -41,11 +41,11 @@
     try:
         return kind()
     except pydantic.ValidationError as exc:
-        print(problems(exc), file=sys.stderr)
-        sys.exit(exits.USAGE)
+        print(describe_errors(exc), file=sys.stderr)
+        sys.exit(exits.USAGE_ERROR)
 
 
-def problems(exc: pydantic.ValidationError) -> str:
+def describe_errors(exc: pydantic.ValidationError) -> str:
     """Returns every invalid setting, one a line, by flag and variable."""
     lines = [f"{exc.error_count()} invalid settings:"]
     for problem in exc.errors():
--- a/catkinpin/timeline.py
+++ b/catkinpin/timeline.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from catkinpin.joined import Line
+    from catkinpin.joined import DecisionLine
 
 # Processes that start so near each other were down for the same reason.
 _SAME_MS = 2_000
@@ -32,8 +32,8 @@
     """
 
     name: str
-    first: Line
-    last: Line
+    first: DecisionLine
+    last: DecisionLine
     processes: int
 
 
@@ -50,15 +50,15 @@
     steps: list[Step]
 
 
-def restarts(lines: list[Line]) -> list[Restart]:
+def find_restarts(lines: list[DecisionLine]) -> list[Restart]:
     """Returns all restarts that the lines tell of, the oldest first."""
     ordered = sorted(lines, key=lambda line: line.at_ms)
     starts = [line for line in ordered if line.decision == "start"]
     return [_restart(ordered, same) for same in _near(starts)]
 
 
-def _near(starts: list[Line]) -> list[list[Line]]:
-    groups: list[list[Line]] = []
+def _near(starts: list[DecisionLine]) -> list[list[DecisionLine]]:
+    groups: list[list[DecisionLine]] = []
     for line in starts:
         if groups and line.at_ms - groups[-1][-1].at_ms <= _SAME_MS:
             groups[-1].append(line)
@@ -67,7 +67,9 @@
     return groups
 
 
-def _restart(ordered: list[Line], starts: list[Line]) -> Restart:
+def _restart(
+    ordered: list[DecisionLine], starts: list[DecisionLine]
+) -> Restart:
     names = {line.process for line in starts}
     first_ms, last_ms = starts[0].at_ms, starts[-1].at_ms
     before = [
@@ -96,41 +98,45 @@
     return Restart(sorted(names), found)
 
 
-def _step(name: str, lines: list[Line]) -> Step | None:
+def _step(name: str, lines: list[DecisionLine]) -> Step | None:
     if not lines:
         return None
     count = len({line.process for line in lines})
     return Step(name, lines[0], lines[-1], count)
 
 
-def _firsts(lines: list[Line], wanted: Callable[[Line], bool]) -> list[Line]:
+def _firsts(
+    lines: list[DecisionLine], wanted: Callable[[DecisionLine], bool]
+) -> list[DecisionLine]:
     """Returns the first such line of each process."""
-    found: dict[str, Line] = {}
+    found: dict[str, DecisionLine] = {}
     for line in lines:
         if wanted(line):
             found.setdefault(line.process, line)
     return list(found.values())
 
 
-def _last(lines: list[Line], wanted: Callable[[Line], bool]) -> list[Line]:
+def _last(
+    lines: list[DecisionLine], wanted: Callable[[DecisionLine], bool]
+) -> list[DecisionLine]:
     return [line for line in lines if wanted(line)][-1:]
 
 
-def _is(decision: str) -> Callable[[Line], bool]:
+def _is(decision: str) -> Callable[[DecisionLine], bool]:
     return lambda line: line.decision == decision
 
 
-def _leads(line: Line) -> bool:
-    return line.decision == "leadership" and bool(line.facts.get("leading"))
+def _leads(line: DecisionLine) -> bool:
+    return line.decision == "leadership" and bool(line.fields.get("leading"))
 
 
-def _ready(line: Line) -> bool:
-    return line.decision == "ready" and bool(line.facts.get("ready"))
+def _ready(line: DecisionLine) -> bool:
+    return line.decision == "ready" and bool(line.fields.get("ready"))
 
 
-def _turn(line: Line) -> bool:
-    return line.decision == "served" and bool(line.facts.get("tokens"))
+def _turn(line: DecisionLine) -> bool:
+    return line.decision == "served" and bool(line.fields.get("tokens"))
 
 
-def _lost(line: Line) -> bool:
+def _lost(line: DecisionLine) -> bool:
     return line.decision in ("refused", "failed")
--- a/catkinpin/tracing.py
+++ b/catkinpin/tracing.py
@@ -53,7 +53,7 @@
     trace.set_tracer_provider(provider)
 
 
-class Hop:
+class Span:
     """A span in progress.
 
     Attributes:
@@ -61,29 +61,29 @@
         trace_id: in hex, for logs.
     """
 
-    def __init__(self, span: trace.Span) -> None:
-        self._span = span
+    def __init__(self, otel_span: trace.Span) -> None:
+        self._span = otel_span
         carrier: dict[str, str] = {}
-        context = trace.set_span_in_context(span)
+        context = trace.set_span_in_context(otel_span)
         _propagator.inject(carrier, context)
         self.traceparent = carrier.get("traceparent", "")
-        self.trace_id = f"{span.get_span_context().trace_id:032x}"
+        self.trace_id = f"{otel_span.get_span_context().trace_id:032x}"
 
     def note(self, key: str, value: str | int) -> None:
         """Adds an attribute."""
         self._span.set_attribute(key, value)
 
-    def event(self, name: str) -> None:
+    def add_event(self, name: str) -> None:
         """Marks a moment, such as the first token."""
         self._span.add_event(name)
 
 
 @contextlib.contextmanager
-def hop(name: str, traceparent: str) -> Iterator[Hop]:
+def span(name: str, traceparent: str) -> Iterator[Span]:
     """Opens the span of one hop below the one that `traceparent` names."""
     context = _propagator.extract({"traceparent": traceparent})
-    span = _tracer.start_span(name, context=context)
+    otel_span = _tracer.start_span(name, context=context)
     try:
-        yield Hop(span)
+        yield Span(otel_span)
     finally:
-        span.end()
+        otel_span.end()
--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -11,8 +11,8 @@
 from tests import base, processes
 
 
-def _line(at_ms: int, process: str, decision: str, **facts: Any) -> str:
-    told = {"at_ms": at_ms, "process": process, "decision": decision, **facts}
+def _line(at_ms: int, process: str, decision: str, **fields: Any) -> str:
+    told = {"at_ms": at_ms, "process": process, "decision": decision, **fields}
     return json.dumps(told)
 
 
@@ -36,7 +36,7 @@
 class JoinTest(base.TestCase):
     """Which lines go with a request, and which don't."""
 
-    def _story(self) -> joined.Story:
+    def _story(self) -> joined.RequestReport:
         lines = [ln for text in _LOG if (ln := joined.parse(text))]
         return joined.join(reversed(lines), "r1")
 
@@ -47,7 +47,7 @@
         """
         story = self._story()
         self.assertEqual([100_050], [ln.at_ms for ln in story.request])
-        self.assertEqual(["r0"], [ln.facts["request"] for ln in story.program])
+        self.assertEqual(["r0"], [ln.fields["request"] for ln in story.program])
         self.assertEqual(
             ["ejected", "crash-report"], [ln.decision for ln in story.servers]
         )
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -59,10 +59,10 @@
         (port,) = ports.free_ports(1)
         address = f"127.0.0.1:{port}"
         listening.open_early(address)
-        sock = listening.claim(address)
+        sock = listening.claim_socket(address)
         assert sock is not None
         sock.close()
-        self.assertIsNone(listening.claim(address))
+        self.assertIsNone(listening.claim_socket(address))
 
     def test_nothing_heavy_is_loaded_before_the_port_opens(self) -> None:
         """Guards against imports that keep the port closed for longer."""
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from catkinpin import configuration
-from catkinpin.process import EXIT_STORAGE
+from catkinpin.process import EXIT_STORAGE_ERROR
 from tests import base, ports, processes
 
 if TYPE_CHECKING:
@@ -259,7 +259,7 @@
                 return process.exit_code() is not None
 
             await base.until(ended, "the replica stops by itself")
-            self.assertEqual(EXIT_STORAGE, process.exit_code())
+            self.assertEqual(EXIT_STORAGE_ERROR, process.exit_code())
             self.assertIn("catkinpin repair", process.log.read_text())
             await self.pay(cluster, "with-two")
 
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -11,8 +11,8 @@
 from tests import base, processes
 
 
-def _line(at_ms: int, process: str, decision: str, **facts: Any) -> str:
-    told = {"at_ms": at_ms, "process": process, "decision": decision, **facts}
+def _line(at_ms: int, process: str, decision: str, **fields: Any) -> str:
+    told = {"at_ms": at_ms, "process": process, "decision": decision, **fields}
     return json.dumps(told)
 
 
@@ -40,7 +40,7 @@
 
     def _restarts(self) -> list[timeline.Restart]:
         lines = [ln for text in _LOG if (ln := joined.parse(text))]
-        return timeline.restarts(list(reversed(lines)))
+        return timeline.find_restarts(list(reversed(lines)))
 
     def test_steps_of_a_blackout_come_in_order(self) -> None:
         """Everything was dark for two seconds, programs lost three."""
