--- a/catkinpin/__init__.py
+++ b/catkinpin/__init__.py
@@ -1,6 +1,6 @@
 """A scheduler for agent programs on backend servers that may be withdrawn."""
 
-# Loaded first: it notes when the process began.
+# Imported first because it records the start time of the process.
 from catkinpin import clock as clock
 
 __version__ = "0.1.0"
--- a/catkinpin/__main__.py
+++ b/catkinpin/__main__.py
@@ -1,4 +1,4 @@
-"""The programs, and `python -m catkinpin [entry|replica] ...`."""
+"""Entry points of the executables and of `python -m catkinpin`."""
 
 from __future__ import annotations
 
@@ -30,22 +30,22 @@
 
 
 def _ignore_reloads() -> None:
-    """Ignores SIGHUP, before what takes long to load is loaded.
+    """Ignores SIGHUP before slow imports.
 
-    Its default ends a process: a terminal that is closed, or a tool that
-    reloads all services, would end every call that is in flight.
+    The default action ends the process: closing a terminal, or a tool that
+    reloads all services, would abort every call in flight.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-_PROGRAMS = {"entry": entry, "replica": replica}
+_EXECUTABLES = {"entry": entry, "replica": replica}
 
 
 def main() -> None:
-    """Runs the program that the first argument names."""
-    if len(sys.argv) > 1 and sys.argv[1] in _PROGRAMS:
-        program = _PROGRAMS[sys.argv.pop(1)]
-        program()
+    """Runs the executable that the first argument names."""
+    if len(sys.argv) > 1 and sys.argv[1] in _EXECUTABLES:
+        executable = _EXECUTABLES[sys.argv.pop(1)]
+        executable()
     else:
         operator()
 
--- a/catkinpin/chat.py
+++ b/catkinpin/chat.py
@@ -1,4 +1,4 @@
-"""The parts of the OpenAI chat protocol that the scheduler must understand."""
+"""Parses, edits and assembles OpenAI chat requests and answers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 _DEFAULT_MAX_TOKENS = 1024
 _MAX_TOKENS = 100_000_000
-_KEPT_FIELDS = (
+_CANONICAL_FIELDS = (
     "role",
     "content",
     "name",
@@ -32,12 +32,12 @@
     messages: list[msgspec.Raw]
 
 
-_messages = msgspec.json.Decoder(_Messages)
-_fields = msgspec.json.Decoder(dict[str, msgspec.Raw])
+_messages_decoder = msgspec.json.Decoder(_Messages)
+_fields_decoder = msgspec.json.Decoder(dict[str, msgspec.Raw])
 
 
 class ChatMessage(pydantic.BaseModel):
-    """A message; fields this system does not use pass through unchanged."""
+    """A chat message; fields that the scheduler does not use are kept."""
 
     model_config = pydantic.ConfigDict(extra="allow")
 
@@ -69,7 +69,8 @@
     """Returns the validated body.
 
     Raises:
-        BadRequestError: naming every field at fault.
+        BadRequestError: the body is invalid; the text lists every invalid
+            field.
     """
     try:
         return ChatRequest.model_validate_json(body)
@@ -82,12 +83,12 @@
 def canonical_message(message: dict[str, Any]) -> bytes:
     """Returns a message in the form that is stored and digested.
 
-    Clients send back an answer's message with empty fields added or left out;
-    neither may make it a different message.
+    Empty fields are dropped: clients that send an answer's message back may
+    add or omit them, and the digest must not change.
     """
     kept = {
         field: message[field]
-        for field in _KEPT_FIELDS
+        for field in _CANONICAL_FIELDS
         if message.get(field) not in (None, [], {})
     }
     return digest.canonical(kept)
@@ -105,47 +106,66 @@
 
 def raw_messages(body: bytes) -> list[bytes]:
     """Returns the JSON of each message of a request's body."""
-    return [bytes(raw) for raw in _messages.decode(body).messages]
+    return [bytes(raw) for raw in _messages_decoder.decode(body).messages]
 
 
 def with_messages(body: bytes, messages: list[bytes]) -> bytes:
-    """Returns a request's body with these messages, given as JSON."""
+    """Returns a request's body with its messages replaced.
+
+    Args:
+        body: the JSON body of the request.
+        messages: the JSON of each new message.
+    """
     raws = [msgspec.Raw(message) for message in messages]
     return with_fields(body, messages=raws)
 
 
 def without_first_messages(body: bytes, count: int) -> bytes:
     """Returns a request's body without its first `count` messages."""
-    return with_fields(body, messages=_messages.decode(body).messages[count:])
+    return with_fields(
+        body, messages=_messages_decoder.decode(body).messages[count:]
+    )
 
 
 def with_fields(body: bytes, **fields: Any) -> bytes:
-    """Returns a JSON object with fields set, or left out where None.
+    """Returns a JSON object with some fields replaced.
 
-    The other fields are copied without being read: a prompt may be large.
+    The other fields are copied without decoding: a prompt may be large.
+
+    Args:
+        body: the JSON object.
+        **fields: new values; None removes the field.
     """
-    whole: dict[str, Any] = _fields.decode(body)
-    whole.update(fields)
-    kept = {name: value for name, value in whole.items() if value is not None}
+    decoded: dict[str, Any] = _fields_decoder.decode(body)
+    decoded.update(fields)
+    kept = {name: value for name, value in decoded.items() if value is not None}
     return msgspec.json.encode(kept)
 
 
 def max_prompt_tokens(canonical: list[bytes], request: ChatRequest) -> int:
-    """Returns an upper bound of the prompt's tokens.
+    """Returns an upper bound of the number of tokens in a prompt.
+
+    Each token of a byte-level vocabulary covers at least one byte.
 
-    A token of a byte-level vocabulary covers at least one byte.
+    Args:
+        canonical: the canonical form of each message.
+        request: the request, for its other fields.
     """
-    text = sum(len(message) for message in canonical)
-    extra = len(digest.canonical(request.model_extra or {}))
-    return text + extra + budgets.MESSAGE_OVERHEAD_TOKENS * len(canonical)
+    text_bytes = sum(len(message) for message in canonical)
+    extra_bytes = len(digest.canonical(request.model_extra or {}))
+    return (
+        text_bytes
+        + extra_bytes
+        + budgets.MESSAGE_OVERHEAD_TOKENS * len(canonical)
+    )
 
 
 class StreamAssembler:
-    """Puts a streamed answer together again.
+    """Assembles an answer from the chunks of its stream.
 
     Attributes:
-        finish_reason: why the engine stopped, empty while it generates.
-        usage: tokens, once the engine has sent them.
+        finish_reason: why the engine stopped; empty while it generates.
+        usage: token counts; None until the engine sends them.
     """
 
     def __init__(self) -> None:
@@ -153,14 +173,14 @@
         self.usage: Usage | None = None
         self._content: list[str] = []
         self._tool_calls: dict[int, dict[str, Any]] = {}
-        self._first: dict[str, Any] = {}
+        self._first_chunk: dict[str, Any] = {}
 
     def add(self, chunk: dict[str, Any]) -> None:
-        """Takes in a `chat.completion.chunk` object."""
-        if not self._first:
-            self._first = chunk
+        """Adds a `chat.completion.chunk` object."""
+        if not self._first_chunk:
+            self._first_chunk = chunk
         if chunk.get("usage"):
-            self.usage = _usage(chunk["usage"])
+            self.usage = _parse_usage(chunk["usage"])
         for choice in chunk.get("choices", []):
             delta = choice.get("delta") or {}
             if delta.get("content"):
@@ -186,10 +206,10 @@
         usage = self.usage or Usage()
         total = usage.prompt_tokens + usage.completion_tokens
         body = {
-            "id": self._first.get("id", ""),
+            "id": self._first_chunk.get("id", ""),
             "object": "chat.completion",
-            "created": self._first.get("created", 0),
-            "model": self._first.get("model", ""),
+            "created": self._first_chunk.get("created", 0),
+            "model": self._first_chunk.get("model", ""),
             "choices": [
                 {
                     "index": 0,
@@ -221,7 +241,7 @@
             call["function"][field] += function.get(field) or ""
 
 
-def _usage(usage: dict[str, Any]) -> Usage:
+def _parse_usage(usage: dict[str, Any]) -> Usage:
     details = usage.get("prompt_tokens_details") or {}
     return Usage(
         prompt_tokens=int(usage.get("prompt_tokens") or 0),
@@ -231,7 +251,7 @@
 
 
 def completion_chunks(completion: bytes) -> list[dict[str, Any]]:
-    """Returns the stream that a stored whole answer would have been."""
+    """Returns a complete stored answer as the chunks of a stream."""
     body = json.loads(completion)
     base = {
         "id": body["id"],
--- a/catkinpin/clock.py
+++ b/catkinpin/clock.py
@@ -13,17 +13,17 @@
 
 
 def since_boot_ms() -> int:
-    """Returns monotonic time that counts a suspended host's sleep, too."""
+    """Returns the time since the host booted, including suspended time."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_PER_MS
 
 
-# Taken as this package is loaded, before anything that takes long to load.
-_BEGUN_MS = since_boot_ms()
+# Read when this package is imported, before any slow import.
+_PROCESS_START_MS = since_boot_ms()
 
 
 def process_start_ms() -> int:
-    """Returns when this process began, on the clock of `elapsed_ms`."""
-    return _BEGUN_MS
+    """Returns when this process started, on the clock of `since_boot_ms`."""
+    return _PROCESS_START_MS
 
 
 @dataclasses.dataclass(frozen=True)
@@ -31,9 +31,9 @@
     """A source of time.
 
     Attributes:
-        now_ms: monotonic milliseconds; use it for leases, timeouts and gaps.
-        wall_ms: milliseconds since the Unix epoch; use it only for what must
-            keep its meaning on another host or after a restart.
+        now_ms: monotonic time; for leases, timeouts and intervals.
+        wall_ms: time since the Unix epoch; only for times that must be valid
+            on another host or after a restart.
     """
 
     now_ms: Callable[[], int]
--- a/catkinpin/codec.py
+++ b/catkinpin/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of what travels between our processes and of log records."""
+"""Encodes messages between processes and log records as MessagePack."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 class Message(
     msgspec.Struct, frozen=True, tag=True, omit_defaults=True, kw_only=True
 ):
-    """Base of typed messages and records.
+    """Base class of typed messages and records.
 
-    Fields travel by name, and a decoder skips names it does not know, so that
-    processes of two versions can talk while an upgrade is under way.
+    Fields are encoded by name and a decoder skips unknown names, so that
+    processes of two versions can communicate during an upgrade.
     """
 
 
--- a/catkinpin/configuration.py
+++ b/catkinpin/configuration.py
@@ -1,4 +1,4 @@
-"""The border of the configuration: TOML or JSON, validated as a whole."""
+"""Parses and validates the operators' configuration, in TOML or JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from catkinpin.exceptions import BadRequestError
 
 _DAY_S = 86_400
-_MAX_SHOWN = 80
+_MAX_SHOWN_CHARS = 80
 
 Name = Annotated[
     str, pydantic.Field(pattern=r"^[0-9A-Za-z_.@-][0-9A-Za-z_.@/: -]{0,199}$")
@@ -22,12 +22,12 @@
 Names = Annotated[list[Name], pydantic.Field(max_length=10_000)]
 
 
-class _Model(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
-class LimitsModel(_Model):
-    """Limits as operators write them; see `deployments.Limits`."""
+class LimitsModel(_StrictModel):
+    """Limits in the configuration file; see `deployments.Limits`."""
 
     calls_running: int = pydantic.Field(default=0, ge=0, le=1_000_000)
     calls_per_second: float = pydantic.Field(
@@ -36,16 +36,16 @@
     queue: int = pydantic.Field(default=0, ge=0, le=1_000_000)
 
 
-class AccountModel(_Model):
-    """An account as operators write it."""
+class AccountModel(_StrictModel):
+    """An account in the configuration file."""
 
     name: Name
     key_sha256: str = pydantic.Field(pattern="^[0-9a-f]{64}$")
     limits: LimitsModel = LimitsModel()
 
 
-class ServerSetModel(_Model):
-    """A set of backend servers as operators write it."""
+class ServerSetModel(_StrictModel):
+    """A set of backend servers in the configuration file."""
 
     names: Names = []
     failure_domains: Names = []
@@ -53,8 +53,8 @@
     off: Names = []
 
 
-class DeploymentModel(_Model):
-    """A deployment as operators write it; see `deployments.Deployment`."""
+class DeploymentModel(_StrictModel):
+    """A deployment in the configuration file; see `deployments.Deployment`."""
 
     name: Name
     targets: list[Name] = pydantic.Field(min_length=1, max_length=1_000)
@@ -72,13 +72,13 @@
     limits: LimitsModel = LimitsModel()
 
 
-class _File(_Model):
+class _ConfigurationFile(_StrictModel):
     accounts: list[AccountModel] = []
     deployments: list[DeploymentModel] = []
 
 
 def key_digest(key: str) -> str:
-    """Returns the stored form of an API key."""
+    """Returns the SHA-256 of an API key in hex, the form that is stored."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -86,23 +86,23 @@
     """Returns the configuration in `content`, which is TOML or JSON.
 
     Raises:
-        BadRequestError: naming every field at fault, its value and what is
-            allowed, one a line.
+        BadRequestError: `content` is invalid; the text lists every invalid
+            field with its value and the allowed values, one per line.
     """
-    data = _load(content)
+    data = _decode(content)
     problems = []
     try:
-        file = _File.model_validate(data)
+        file = _ConfigurationFile.model_validate(data)
     except pydantic.ValidationError as exc:
         problems.append(describe_errors(exc))
-    problems += _contradictions(data)
+    problems += _cross_field_problems(data)
     if problems:
         raise BadRequestError("configuration", "\n".join(problems))
-    accounts = [_account(model) for model in file.accounts]
-    return Configuration([*accounts, *map(_deployment, file.deployments)])
+    accounts = [_to_account(model) for model in file.accounts]
+    return Configuration([*accounts, *map(_to_deployment, file.deployments)])
 
 
-def _load(content: bytes) -> dict[str, Any]:
+def _decode(content: bytes) -> dict[str, Any]:
     try:
         text = content.decode()
         if text.lstrip().startswith("{"):
@@ -113,81 +113,87 @@
         raise BadRequestError("configuration", text) from exc
 
 
-def _account(model: AccountModel) -> deployments.Account:
+def _to_account(model: AccountModel) -> deployments.Account:
     limits = deployments.Limits(**model.limits.model_dump())
     return deployments.Account(
         name=model.name, key_sha256=model.key_sha256, limits=limits
     )
 
 
-def _deployment(model: DeploymentModel) -> deployments.Deployment:
+def _to_deployment(model: DeploymentModel) -> deployments.Deployment:
     fields = model.model_dump()
     fields["limits"] = deployments.Limits(**fields["limits"])
     fields["servers"] = deployments.ServerSet(**fields["servers"])
     return deployments.Deployment(**fields)
 
 
-def _contradictions(data: dict[str, Any]) -> list[str]:
-    """Returns what single fields can't show; tolerates malformed fields."""
-    accounts = _dicts(data.get("accounts"))
-    found = _dicts(data.get("deployments"))
+def _cross_field_problems(data: dict[str, Any]) -> list[str]:
+    """Returns the problems that involve several fields.
+
+    Malformed fields are skipped, because `data` may be invalid.
+    """
+    accounts = _as_dicts(data.get("accounts"))
+    deployment_items = _as_dicts(data.get("deployments"))
     problems = [
-        *_twice("accounts", "name", accounts),
-        *_twice("accounts", "key_sha256", accounts),
-        *_twice("deployments", "name", found),
+        *_duplicates("accounts", "name", accounts),
+        *_duplicates("accounts", "key_sha256", accounts),
+        *_duplicates("deployments", "name", deployment_items),
     ]
-    known = {str(account.get("name")) for account in accounts}
-    for place, deployment in enumerate(found):
-        for name in _strings(deployment.get("accounts")):
-            if name not in known:
+    account_names = {str(account.get("name")) for account in accounts}
+    for index, deployment in enumerate(deployment_items):
+        for name in _only_strings(deployment.get("accounts")):
+            if name not in account_names:
                 problems.append(
-                    f"deployments.{place}.accounts: an account of this"
+                    f"deployments.{index}.accounts: an account of this"
                     f" configuration is allowed, got {name!r}"
                 )
-        targets = _strings(deployment.get("targets"))
+        targets = _only_strings(deployment.get("targets"))
         versions = deployment.get("versions")
         for target in versions if isinstance(versions, dict) else ():
             if target not in targets:
                 problems.append(
-                    f"deployments.{place}.versions: a target of this"
+                    f"deployments.{index}.versions: a target of this"
                     f" deployment is allowed, got {target!r}"
                 )
     return problems
 
 
-def _dicts(value: Any) -> list[dict[str, Any]]:
+def _as_dicts(value: Any) -> list[dict[str, Any]]:
     items = value if isinstance(value, list) else []
     return [item if isinstance(item, dict) else {} for item in items]
 
 
-def _strings(value: Any) -> list[str]:
+def _only_strings(value: Any) -> list[str]:
     items = value if isinstance(value, list) else []
     return [item for item in items if isinstance(item, str)]
 
 
-def _twice(kind: str, field: str, items: list[dict[str, Any]]) -> list[str]:
+def _duplicates(
+    kind: str, field: str, items: list[dict[str, Any]]
+) -> list[str]:
+    """Returns a problem for each item that repeats another's `field` value."""
     problems = []
-    first: dict[str, int] = {}
-    for place, item in enumerate(items):
+    first_index: dict[str, int] = {}
+    for index, item in enumerate(items):
         value = item.get(field)
         if not isinstance(value, str):
             continue
-        if value in first:
+        if value in first_index:
             problems.append(
-                f"{kind}.{place}.{field}: a value that no other has is"
-                f" allowed, got that of {kind}.{first[value]}: {value!r}"
+                f"{kind}.{index}.{field}: a value that no other has is"
+                f" allowed, got that of {kind}.{first_index[value]}: {value!r}"
             )
-        first.setdefault(value, place)
+        first_index.setdefault(value, index)
     return problems
 
 
 def describe_errors(exc: pydantic.ValidationError) -> str:
-    """Returns every problem of a failed validation, one a line."""
+    """Returns every error of a failed validation, one per line."""
     lines = []
     for problem in exc.errors():
-        place = ".".join(str(part) for part in problem["loc"]) or "(whole)"
-        shown = repr(problem.get("input"))
-        if len(shown) > _MAX_SHOWN:
-            shown = shown[:_MAX_SHOWN] + "..."
-        lines.append(f"{place}: {problem['msg']}, got {shown}")
+        field = ".".join(str(part) for part in problem["loc"]) or "(whole)"
+        value = repr(problem.get("input"))
+        if len(value) > _MAX_SHOWN_CHARS:
+            value = value[:_MAX_SHOWN_CHARS] + "..."
+        lines.append(f"{field}: {problem['msg']}, got {value}")
     return "\n".join(lines)
--- a/catkinpin/decisions.py
+++ b/catkinpin/decisions.py
@@ -1,13 +1,13 @@
-"""One structured line a decision on standard output, bounded, never blocking.
+"""Writes one JSON line per decision to standard output without blocking.
 
-A line names the request, the inputs that decided, their age or version and
-the outcome. Whoever is on call has nothing else to explain a failure with.
+A line has the request's id, the inputs of the decision, their age or version
+and the outcome. These lines are all that an on-call engineer has to explain
+a failure.
 
-Volume is bounded: lines of requests that went well are written for a sample
-once there are many of them; the line of a request that failed or was refused,
-and each line about what this process believes, is always queued. A pipe that
-nobody reads fills up: then lines are dropped, counted, and the count is the
-next line that gets through.
+The volume is bounded. Under load, lines of successful requests are sampled;
+lines of failed or refused requests and of changes in this process's view of
+the system are always queued. If nobody reads the pipe, it fills up and lines
+are dropped; the next line that is queued carries the number of dropped lines.
 """
 
 from __future__ import annotations
@@ -19,59 +19,60 @@
 
 import msgspec
 
-# Lines of requests that went well, a second; about 10 KB/s.
-_ROUTINE_PER_S = 40
-# Lines that wait for a reader of the pipe; some 200 KB.
-_MAX_QUEUED = 1_000
-_STDOUT = 1
+# Bounds the lines of successful requests to about 10 KB/s.
+_MAX_ROUTINE_LINES_PER_S = 40
+# Bounds the lines that wait until the pipe is read to about 200 KB.
+_MAX_QUEUED_LINES = 1_000
+_STDOUT_FD = 1
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
-class _Writer:
-    """Lines that wait, and how many were left out.
+class _LineWriter:
+    """Queues lines and writes them as far as standard output accepts them.
 
     Attributes:
-        process: name of this process, in each line.
+        process: name of this process, written in each line.
+        enabled: whether lines are written at all.
     """
 
     def __init__(self) -> None:
         self.process = ""
         self.enabled = False
         self._queue: collections.deque[bytes] = collections.deque()
-        self._dropped = 0
-        self._second = 0
-        self._routine = 0
+        self._dropped_lines = 0
+        self._current_second = 0
+        self._routine_lines = 0
 
-    def may_write_routine(self) -> bool:
-        """Returns whether one more line of a good request fits."""
+    def admit_routine_line(self) -> bool:
+        """Counts a line of a successful request; returns if it is written."""
         second = int(time.monotonic())
-        if second != self._second:
-            self._second = second
-            self._routine = 0
-        self._routine += 1
-        return self._routine <= _ROUTINE_PER_S
-
-    def add(self, line: dict[str, Any]) -> None:
-        """Queues a line and writes what the pipe takes."""
-        if len(self._queue) >= _MAX_QUEUED:
-            self._dropped += 1
+        if second != self._current_second:
+            self._current_second = second
+            self._routine_lines = 0
+        self._routine_lines += 1
+        return self._routine_lines <= _MAX_ROUTINE_LINES_PER_S
+
+    def enqueue(self, line: dict[str, Any]) -> None:
+        """Queues a line and writes as much as the pipe accepts."""
+        if len(self._queue) >= _MAX_QUEUED_LINES:
+            self._dropped_lines += 1
             return
-        if self._dropped:
-            line["dropped_before"] = self._dropped
-            self._dropped = 0
+        if self._dropped_lines:
+            line["dropped_before"] = self._dropped_lines
+            self._dropped_lines = 0
         self._queue.append(_encoder.encode(line) + b"\n")
-        self._write()
+        self._flush()
 
-    def _write(self) -> None:
+    def _flush(self) -> None:
         while self._queue:
             data = self._queue[0]
             try:
-                written = os.write(_STDOUT, data)
+                written = os.write(_STDOUT_FD, data)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody can ever read these lines: the reader is gone.
+                # The reader has closed the pipe; nobody can read these lines.
                 self._queue.clear()
                 return
             if written < len(data):
@@ -80,23 +81,23 @@
             self._queue.popleft()
 
 
-_writer = _Writer()
+_writer = _LineWriter()
 
 
 def set_up(process: str) -> None:
-    """Starts writing, with a standard output that never blocks."""
+    """Enables decision lines and makes standard output non-blocking."""
     _writer.process = process
     _writer.enabled = True
-    os.set_blocking(_STDOUT, False)
+    os.set_blocking(_STDOUT_FD, False)
 
 
-def note(kind: str, request: str, **facts: Any) -> None:
-    """Writes a line about a decision, or about what is believed from now on.
+def note(kind: str, request: str, **fields: Any) -> None:
+    """Writes a line about a decision or a change in the process's view.
 
     Args:
-        kind: what was decided.
-        request: id of the request, empty where it touches none.
-        **facts: what decided, its age or version, and the outcome.
+        kind: the kind of decision.
+        request: id of the request; empty if the line concerns none.
+        **fields: inputs of the decision, their age or version, the outcome.
     """
     if not _writer.enabled:
         return
@@ -107,11 +108,11 @@
     }
     if request:
         line["request"] = request
-    line.update(facts)
-    _writer.add(line)
+    line.update(fields)
+    _writer.enqueue(line)
 
 
-def routine(kind: str, request: str, **facts: Any) -> None:
-    """Writes a line about a request that went well, for a sample under load."""
-    if _writer.enabled and _writer.may_write_routine():
-        note(kind, request, **facts)
+def routine(kind: str, request: str, **fields: Any) -> None:
+    """Writes a line about a successful request; sampled under load."""
+    if _writer.enabled and _writer.admit_routine_line():
+        note(kind, request, **fields)
--- a/catkinpin/digest.py
+++ b/catkinpin/digest.py
@@ -1,4 +1,4 @@
-"""Digests of messages and the chain that keeps histories apart."""
+"""Digests of messages, and digest chains that identify histories."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def canonical(value: Any) -> bytes:
-    """Returns JSON that is the same for equal values."""
+    """Returns a value as canonical JSON: equal values give equal bytes."""
     return json.dumps(
         value, sort_keys=True, separators=(",", ":"), ensure_ascii=False
     ).encode()
@@ -22,10 +22,10 @@
 
 
 def of_json(value: Any) -> bytes:
-    """Returns the digest of a JSON value, whatever the order of its keys."""
+    """Returns the digest of a JSON value, independent of the key order."""
     return of_bytes(canonical(value))
 
 
 def chain(head: bytes, item: bytes) -> bytes:
-    """Returns the head of a chain after `item` has been added to it."""
+    """Returns the head of a digest chain extended by `item`."""
     return of_bytes(head + item)
--- a/catkinpin/exceptions.py
+++ b/catkinpin/exceptions.py
@@ -1,4 +1,4 @@
-"""Every exception of the package, under one base."""
+"""Exceptions of the package, with a common base class."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SettingsError(CatkinpinError):
-    """Settings are invalid; the text lists every problem at once."""
+    """Settings are invalid; the text lists all problems."""
 
 
 class StorageError(CatkinpinError):
@@ -16,10 +16,10 @@
 
 
 class DiskFullError(StorageError):
-    """The disk takes no more bytes; what was to be written isn't there.
+    """A write failed because the disk is full.
 
-    Unlike after other failures all that was synced before is sound, and the
-    same may be written again once there is room.
+    Unlike after other storage errors, everything synced before is intact, and
+    the write may be repeated once there is space.
     """
 
 
@@ -28,10 +28,10 @@
 
 
 class PeerLostError(CatkinpinError):
-    """The stream to another catkinpin process broke before the reply came.
+    """The stream to another catkinpin process broke before the reply arrived.
 
     Attributes:
-        sent: whether the other process may have got the message.
+        sent: whether the other process may have received the message.
     """
 
     def __init__(self, text: str, *, sent: bool = True) -> None:
@@ -43,7 +43,7 @@
     """This replica does not lead the group.
 
     Attributes:
-        leader: address of the leader where it is known, else an empty string.
+        leader: address of the leader; empty if unknown.
     """
 
     def __init__(self, leader: str = "") -> None:
@@ -52,10 +52,10 @@
 
 
 class BadRequestError(CatkinpinError):
-    """Input from outside is invalid.
+    """Input from a caller or an operator is invalid.
 
     Attributes:
-        field: the header, parameter or body field at fault.
+        field: the invalid header, parameter or body field.
     """
 
     def __init__(self, field: str, text: str) -> None:
@@ -64,11 +64,11 @@
 
 
 class StopTimeoutError(CatkinpinError):
-    """A graceful stop took too long; work in flight was cut off."""
+    """A graceful stop timed out; work in flight was aborted."""
 
 
 class SentError(CatkinpinError):
-    """A connection broke after the request may have left this host."""
+    """A connection broke when the request may already have been sent."""
 
 
 class BrokenStreamError(CatkinpinError):
@@ -92,11 +92,11 @@
 
 
 class DivergedError(CatkinpinError):
-    """A new answer differs from the part that the caller already has."""
+    """A retried answer differs from the part already sent to the caller."""
 
 
 class SnapshotVersionError(StorageError):
-    """A snapshot was written by a newer program."""
+    """A snapshot was written by a newer version of the software."""
 
     def __init__(self, found: int, known: int) -> None:
         super().__init__(
--- a/catkinpin/exits.py
+++ b/catkinpin/exits.py
@@ -1,4 +1,4 @@
-"""How processes end: exit codes, and an end at once."""
+"""Exit codes, and an immediate exit after storage errors."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 def exit_immediately(exc: Exception) -> None:
-    """Ends the process at once, without any further message.
+    """Exits the process immediately, without sending any further message.
 
-    After a failed write or sync the disk may hold less than memory says. A
-    graceful stop would still acknowledge from memory.
+    After a failed write or sync, the disk may lack data that is in memory. A
+    graceful stop would still acknowledge that data to others.
     """
     log.critical("%s", exc, exc_info=exc)
     logging.shutdown()
--- a/catkinpin/logs.py
+++ b/catkinpin/logs.py
@@ -8,7 +8,7 @@
 
 
 def set_up(level: str, process: str) -> None:
-    """Sends all log records as JSON lines to standard error."""
+    """Configures logging: all records go to standard error as JSON lines."""
     formatter = JsonFormatter(
         "%(asctime)s %(levelname)s %(name)s %(message)s",
         rename_fields={"asctime": "time", "levelname": "level"},
@@ -17,5 +17,5 @@
     handler = logging.StreamHandler()
     handler.setFormatter(formatter)
     logging.basicConfig(level=level, handlers=[handler], force=True)
-    for noisy in ("sanic.access", "sanic.root", "sanic.server"):
-        logging.getLogger(noisy).setLevel(logging.WARNING)
+    for logger_name in ("sanic.access", "sanic.root", "sanic.server"):
+        logging.getLogger(logger_name).setLevel(logging.WARNING)
--- a/catkinpin/metrics.py
+++ b/catkinpin/metrics.py
@@ -1,4 +1,4 @@
-"""All metrics, declared once."""
+"""Prometheus metrics of all processes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 )
 DROPPED_ANSWERS = Counter(
     "catkinpin_dropped_answers_total",
-    "Answers dropped since they belong to another attempt.",
+    "Answers dropped because they belong to another attempt.",
 )
 PEER_BYTES = Counter(
     "catkinpin_peer_bytes_total",
@@ -43,17 +43,18 @@
 )
 PEER_WIRE_BYTES = Counter(
     "catkinpin_peer_wire_bytes_total",
-    "Bytes sent to other processes, as they go out.",
+    "Bytes sent to other processes, after compression.",
     ["link"],
 )
 RETIRED_CONNECTIONS = Counter(
     "catkinpin_retired_connections_total",
-    "Connections given up since they had gone silent.",
+    "Connections closed because nothing arrived on them for too long.",
     ["kind"],
 )
 RELAY_CACHE_RESULTS = Counter(
     "catkinpin_relay_cache_total",
-    "Requests relayed with new messages only, by whether the rest was held.",
+    "Requests relayed with new messages only, by whether this process had"
+    " the rest in its cache.",
     ["result"],
 )
 IS_GROUP_LEADER = Gauge(
@@ -61,17 +62,17 @@
 )
 FOUNDING_WAITS = Gauge(
     "catkinpin_founding_waits",
-    "Seeds for which the founding of the system waits here.",
+    "Seeds that the founding of the system waits for, seen by this process.",
     ["seed"],
 )
 QUOTA_USED_SHARE = Gauge(
     "catkinpin_quota_used_share",
-    "Part of its quota that an account used in the last window, by the leader;"
-    " the accounts that used most.",
+    "Share of its quota that an account used in the last window, reported by"
+    " the leader for the accounts with the highest shares.",
     ["account"],
 )
 QUOTA_ACCOUNTS = Gauge(
-    "catkinpin_quota_accounts", "Accounts in use that have a quota."
+    "catkinpin_quota_accounts", "Active accounts that have a quota."
 )
 LOG_SYNCS = Counter("catkinpin_log_syncs_total", "Syncs of the log.", [])
 LOG_RECORDS = Counter("catkinpin_log_records_total", "Records logged.", [])
--- a/catkinpin/process.py
+++ b/catkinpin/process.py
@@ -1,4 +1,4 @@
-"""Runs a process until it is asked to stop."""
+"""Runs a process until a signal stops it."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     """A process that can be started and gracefully stopped."""
 
     async def start(self) -> None:
-        """Begins to serve."""
+        """Starts serving."""
 
     async def stop(self) -> None:
-        """Finishes what is in flight and closes.
+        """Finishes the work in flight and closes.
 
         Raises:
-            StopTimeoutError: it took too long; the rest was cut off.
+            StopTimeoutError: the stop timed out; remaining work was aborted.
         """
 
 
@@ -60,16 +60,16 @@
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
 
-    def signalled() -> None:
+    def handle_stop_signal() -> None:
         if stop.is_set():
-            # Whoever asks twice no longer wants to wait for what is in flight.
-            log.error("asked to stop again; ending at once")
+            # A second signal means: don't wait for work in flight any longer.
+            log.error("second stop signal; exiting immediately")
             os._exit(EXIT_FORCED_STOP)
         stop.set()
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, signalled)
-    loop.add_signal_handler(signal.SIGHUP, _note_reload)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, handle_stop_signal)
+    loop.add_signal_handler(signal.SIGHUP, _log_ignored_reload)
     process = make()
     try:
         await process.start()
@@ -80,15 +80,15 @@
 
 
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """Ignores signals from here to the end of the process.
+    """Ignores signals until the process has exited.
 
-    The loop restores their defaults as it closes. One that came while the
-    interpreter ends would turn an orderly stop into one that looks failed.
+    The event loop restores their default actions when it closes. A signal
+    during interpreter shutdown would make a clean stop look like a failure.
     """
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        loop.remove_signal_handler(number)
-        signal.signal(number, signal.SIG_IGN)
+    for signum in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        loop.remove_signal_handler(signum)
+        signal.signal(signum, signal.SIG_IGN)
 
 
-def _note_reload() -> None:
-    log.info("SIGHUP changes nothing: settings are read at the start")
+def _log_ignored_reload() -> None:
+    log.info("ignored SIGHUP: settings are read only at the start")
--- a/catkinpin/roles.py
+++ b/catkinpin/roles.py
@@ -1,8 +1,8 @@
-"""Settings of gateways, keepers and stores, declared once.
+"""Settings of gateways, keepers and stores.
 
-These run on many small hosts. Declared with pydantic like those of the other
-processes, they took 10 of each one's 40 MB and a third of the processor time
-of its start; msgspec, which checks them here, is loaded for messages anyway.
+These processes run on many small hosts. The settings of the other processes
+use pydantic, which took 10 of the 40 MB of each process and a third of the
+CPU time of its start. These use msgspec, which is loaded for messages anyway.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 
 from catkinpin.exceptions import SettingsError
 
-_PORT = r"(6553[0-5]|655[0-2]\d|65[0-4]\d{2}|6[0-4]\d{3}|[1-5]?\d{1,4})"
-_ADDRESS = rf"[0-9A-Za-z_.\-\[\]:]+:{_PORT}"
+_PORT_PATTERN = r"(6553[0-5]|655[0-2]\d|65[0-4]\d{2}|6[0-4]\d{3}|[1-5]?\d{1,4})"
+_ADDRESS_PATTERN = rf"[0-9A-Za-z_.\-\[\]:]+:{_PORT_PATTERN}"
 
-Address = Annotated[str, Meta(pattern=f"^{_ADDRESS}$")]
-OptionalAddress = Annotated[str, Meta(pattern=f"^({_ADDRESS})?$")]
+Address = Annotated[str, Meta(pattern=f"^{_ADDRESS_PATTERN}$")]
+OptionalAddress = Annotated[str, Meta(pattern=f"^({_ADDRESS_PATTERN})?$")]
 Milliseconds = Annotated[int, Meta(gt=0)]
-Positive = Annotated[int, Meta(gt=0)]
-NotNegative = Annotated[int, Meta(ge=0)]
+PositiveInt = Annotated[int, Meta(gt=0)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 Seeds = Annotated[list[Address], Meta(min_length=1)]
 
 
 class RoleSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings that all three have.
+    """Settings that gateways, keepers and stores share.
 
     Attributes:
-        name: of this process, unique in the system.
-        region: that this host stands in.
-        failure_domain: that this host stands in.
+        name: name of this process, unique in the system.
+        region: region that this host is in.
+        failure_domain: failure domain that this host is in.
         peer_listen: IP and port for the other catkinpin processes (TCP).
-        metrics_listen: IP and port of the metrics; empty: none.
+        metrics_listen: IP and port of the metrics; empty: no metrics.
         seeds: peer addresses of some keepers.
-        stop_timeout_ms: longest that a graceful stop takes.
+        stop_timeout_ms: longest duration of a graceful stop.
 
     Raises:
-        SettingsError: some are invalid; it lists all of them.
+        SettingsError: settings are invalid; the text lists all of them.
     """
 
     name: str = ""
@@ -55,7 +55,11 @@
         problems = [
             f"  {field.name}: {problem}, got {value!r}"
             for field in msgspec.structs.fields(self)
-            if (problem := _problem(value := getattr(self, field.name), field))
+            if (
+                problem := _find_problem(
+                    value := getattr(self, field.name), field
+                )
+            )
         ]
         if problems:
             count = f"{len(problems)} invalid settings:"
@@ -67,34 +71,35 @@
 
     Attributes:
         listen: IP and port for servers and operators (HTTP).
-        data_folder: the only place that is written.
-        first_start: whether the whole system starts for the first time. A
-            seed then founds it; without this an empty folder joins.
-        snapshot_entries: records of the log between two snapshots.
-        copies: hosts that hold each turn's bytes: one more than disks that
-            may be lost at once.
-        silent_server_ms: a server that announced nothing for so long is gone.
-        quota_window_ms: span in which an account's quota must hold.
-        quota_overage: part of a quota that such a span may hold beyond it.
-        quota_slack: requests that such a span may hold besides.
+        data_folder: the only folder that the process writes to.
+        first_start: whether the whole system starts for the first time. If
+            so, a seed founds it; if not, a keeper with an empty folder joins.
+        snapshot_entries: log records between two snapshots.
+        copies: number of hosts that store each turn: one more than the disks
+            that may be lost at once.
+        silent_server_ms: time without an announcement after which a server
+            counts as gone.
+        quota_window_ms: time window in which an account's quota must hold.
+        quota_overage: share of a quota that may be used beyond it in a window.
+        quota_slack: requests that may be made beyond that in a window.
     """
 
     listen: Address = "127.0.0.1:8082"
     data_folder: pathlib.Path = pathlib.Path("data")
     first_start: bool = False
-    snapshot_entries: Positive = 5_000
-    copies: Positive = 2
+    snapshot_entries: PositiveInt = 5_000
+    copies: PositiveInt = 2
     silent_server_ms: Milliseconds = 15_000
     quota_window_ms: Milliseconds = 5_000
     quota_overage: Fraction = 0.0
-    quota_slack: NotNegative = 0
+    quota_slack: NonNegativeInt = 0
 
 
 class StoreSettings(RoleSettings, frozen=True, kw_only=True):
     """Settings of a store.
 
     Attributes:
-        data_folder: the only place that is written.
+        data_folder: the only folder that the process writes to.
     """
 
     data_folder: pathlib.Path = pathlib.Path("data")
@@ -105,26 +110,27 @@
 
     Attributes:
         listen: IP and port for callers (HTTP).
-        ready_listen: IP and port at which the balancer asks for readiness.
-        balancer_wait_ms: how long a stopping gateway still takes new calls
-            after its readiness went down, so that the balancer notices.
-        copies: hosts that hold each turn's bytes: one more than disks that
-            may be lost at once.
-        cache_bytes: of turns, kept in memory for those that follow.
-        gateways_expected: that share each server's connections, until the
-            keepers tell how many there are.
+        ready_listen: IP and port at which the balancer checks readiness.
+        balancer_wait_ms: time that a stopping gateway still accepts new calls
+            after it reports not ready, so that the balancer notices.
+        copies: number of hosts that store each turn: one more than the disks
+            that may be lost at once.
+        cache_bytes: size of the memory cache of turns, for the turns that
+            continue them.
+        gateways_expected: number of gateways assumed to share each server's
+            connections until the keepers report the number.
     """
 
     listen: Address = "127.0.0.1:8080"
     ready_listen: Address = "127.0.0.1:8081"
-    balancer_wait_ms: NotNegative = 3_000
-    copies: Positive = 2
-    cache_bytes: NotNegative = 8 * 1024 * 1024
-    gateways_expected: Positive = 9
+    balancer_wait_ms: NonNegativeInt = 3_000
+    copies: PositiveInt = 2
+    cache_bytes: NonNegativeInt = 8 * 1024 * 1024
+    gateways_expected: PositiveInt = 9
 
 
-def _problem(value: Any, field: msgspec.structs.FieldInfo) -> str:
-    """Returns what is wrong with a setting, or an empty string."""
+def _find_problem(value: Any, field: msgspec.structs.FieldInfo) -> str:
+    """Returns why a setting is invalid, or an empty string."""
     if field.type is pathlib.Path:
         return "" if isinstance(value, pathlib.Path) else "no path"
     try:
--- a/catkinpin/settings.py
+++ b/catkinpin/settings.py
@@ -1,7 +1,7 @@
-"""Every setting of entries, replicas and the command, declared once.
+"""Settings of entries, replicas and the operators' command.
 
 Each field is a flag (`--data-folder`) and an environment variable
-(`CATKINPIN_DATA_FOLDER`). All problems are reported together.
+(`CATKINPIN_DATA_FOLDER`). All invalid settings are reported together.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 _MAX_PORT = 65_535
 
 
-def _address(value: str) -> str:
+def _validate_address(value: str) -> str:
     match = _HOST_PORT.fullmatch(value)
     if match is None or int(match[1]) > _MAX_PORT:
         raise ValueError("an IP and a port are needed, as in 127.0.0.1:8080")
     return value
 
 
-Address = Annotated[str, pydantic.AfterValidator(_address)]
+Address = Annotated[str, pydantic.AfterValidator(_validate_address)]
 OptionalAddress = Annotated[
-    str, pydantic.AfterValidator(lambda v: _address(v) if v else v)
+    str, pydantic.AfterValidator(lambda v: _validate_address(v) if v else v)
 ]
 Milliseconds = Annotated[int, pydantic.Field(gt=0)]
 
@@ -37,7 +37,10 @@
 
 
 def defaults(kind: type[_S]) -> _S:
-    """Returns settings of which none was given; exits where some must be."""
+    """Returns settings with all defaults.
+
+    Prints the problems and exits if a setting without a default is required.
+    """
     try:
         return kind()
     except pydantic.ValidationError as exc:
@@ -46,7 +49,7 @@
 
 
 def describe_errors(exc: pydantic.ValidationError) -> str:
-    """Returns every invalid setting, one a line, by flag and variable."""
+    """Returns every invalid setting with its flag and variable, one a line."""
     lines = [f"{exc.error_count()} invalid settings:"]
     for problem in exc.errors():
         name = str(problem["loc"][0]) if problem["loc"] else "settings"
@@ -57,7 +60,7 @@
 
 
 class ProcessSettings(pydantic.BaseModel):
-    """Settings that every long-running process has."""
+    """Settings that entries and replicas share."""
 
     model_config = pydantic.ConfigDict(validate_default=True, frozen=True)
 
@@ -65,10 +68,10 @@
         default="", description="Name of this process, unique in the system."
     )
     region: str = pydantic.Field(
-        default="", description="Region this host stands in."
+        default="", description="Region that this host is in."
     )
     failure_domain: str = pydantic.Field(
-        default="", description="Failure domain this host stands in."
+        default="", description="Failure domain that this host is in."
     )
     peer_listen: Address = pydantic.Field(
         default="127.0.0.1:0",
@@ -77,7 +80,7 @@
     peer_advertise: OptionalAddress = pydantic.Field(
         default="",
         description="IP and port at which the other processes reach this one;"
-        " empty: as in peer_listen.",
+        " empty: peer_listen is used.",
     )
     admin_listen: Address = pydantic.Field(
         default="127.0.0.1:0",
@@ -85,16 +88,18 @@
     )
     trace_file: str = pydantic.Field(
         default="",
-        description="File for spans, one JSON object a line; empty: no spans.",
+        description="File for trace spans, one JSON object per line; empty: no"
+        " spans.",
     )
     log_level: str = pydantic.Field(
         default="INFO",
         pattern="^(DEBUG|INFO|WARNING|ERROR)$",
-        description="Least severe log records that are written.",
+        description="Lowest level of the log records that are written.",
     )
     stop_timeout_ms: Milliseconds = pydantic.Field(
         default=30_000,
-        description="Longest a graceful stop waits for work in flight, in ms.",
+        description="Longest wait of a graceful stop for work in flight, in"
+        " ms.",
     )
 
 
@@ -127,7 +132,7 @@
     )
     default_deadline_ms: Milliseconds = pydantic.Field(
         default=120_000,
-        description="Deadline of a call that names none, in ms.",
+        description="Deadline of a call that sets none, in ms.",
     )
     progress_timeout_ms: Milliseconds = pydantic.Field(
         default=5_000,
@@ -136,27 +141,29 @@
     )
     progress_timeout_low_ms: Milliseconds = pydantic.Field(
         default=500,
-        description="Shortest silence of a stream that is looked into, however"
-        " fast its server has been, in ms.",
+        description="Lower bound of the silence after which a stream is"
+        " checked, however fast its server has been, in ms.",
     )
     first_token_timeout_ms: Milliseconds = pydantic.Field(
         default=30_000,
         description="Longest wait for an engine's first token before the call"
-        " goes elsewhere, in ms.",
+        " is sent elsewhere, in ms.",
     )
     history_cache_bytes: int = pydantic.Field(
         default=32 * 1024 * 1024,
         gt=0,
-        description="Histories held for other regions' entries, in bytes.",
+        description="Size of the cache of histories for other regions'"
+        " entries, in bytes.",
     )
     balancer_wait_ms: int = pydantic.Field(
         default=0,
         ge=0,
-        description="How long a stopping entry still takes new calls after"
-        " its readiness went down, so that the balancer notices, in ms.",
+        description="Time that a stopping entry still accepts new calls after"
+        " it reports not ready, so that the balancer notices, in ms.",
     )
     connect_timeout_ms: Milliseconds = pydantic.Field(
-        default=1_000, description="Longest connect to a server, in ms."
+        default=1_000,
+        description="Longest wait for a connection to a server, in ms.",
     )
 
 
@@ -166,7 +173,7 @@
     snapshot_entries: int = pydantic.Field(
         default=100_000,
         gt=0,
-        description="Records of a group between two of its snapshots.",
+        description="Log records of a group between two of its snapshots.",
     )
     operator_key_sha256: str = pydantic.Field(
         default="",
@@ -175,7 +182,7 @@
     )
     data_folder: pathlib.Path = pydantic.Field(
         default=pathlib.Path("data"),
-        description="Folder for the log; the only place that is written.",
+        description="Folder for the log; the process writes nowhere else.",
     )
     replicas: list[Address] = pydantic.Field(
         default=[],
--- a/catkinpin/tracing.py
+++ b/catkinpin/tracing.py
@@ -1,4 +1,4 @@
-"""Spans for each hop, joined by W3C `traceparent`."""
+"""Trace spans, linked across processes by the W3C header `traceparent`."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 _tracer = trace.get_tracer("catkinpin")
 
 
-class _JsonLines(SpanExporter):
-    """Writes a span a line."""
+class _JsonLinesExporter(SpanExporter):
+    """Writes spans as JSON, one per line."""
 
     def __init__(self, out: IO[str]) -> None:
         self._out = out
@@ -42,14 +42,14 @@
 
 
 def set_up(path: str, process: str) -> None:
-    """Writes spans to the file at `path`; an empty path writes none."""
+    """Exports spans to the file at `path`; none if the path is empty."""
     if not path:
         return
     provider = TracerProvider(
         resource=Resource.create({"service.name": process})
     )
     out = open(path, "a", encoding="utf-8")  # noqa: SIM115
-    provider.add_span_processor(SimpleSpanProcessor(_JsonLines(out)))
+    provider.add_span_processor(SimpleSpanProcessor(_JsonLinesExporter(out)))
     trace.set_tracer_provider(provider)
 
 
@@ -57,8 +57,8 @@
     """A span in progress.
 
     Attributes:
-        traceparent: what the next hop gets.
-        trace_id: in hex, for logs.
+        traceparent: header value for requests made within this span.
+        trace_id: id of the trace in hex, for logs.
     """
 
     def __init__(self, otel_span: trace.Span) -> None:
@@ -70,17 +70,17 @@
         self.trace_id = f"{otel_span.get_span_context().trace_id:032x}"
 
     def note(self, key: str, value: str | int) -> None:
-        """Adds an attribute."""
+        """Sets an attribute of the span."""
         self._span.set_attribute(key, value)
 
     def add_event(self, name: str) -> None:
-        """Marks a moment, such as the first token."""
+        """Records an event with the current time, such as the first token."""
         self._span.add_event(name)
 
 
 @contextlib.contextmanager
 def span(name: str, traceparent: str) -> Iterator[Span]:
-    """Opens the span of one hop below the one that `traceparent` names."""
+    """Opens a child span of the one that `traceparent` identifies."""
     context = _propagator.extract({"traceparent": traceparent})
     otel_span = _tracer.start_span(name, context=context)
     try:
--- a/catkinpin/verdicts.py
+++ b/catkinpin/verdicts.py
@@ -1,4 +1,4 @@
-"""What is known about whether a request ran, and why one was refused."""
+"""Verdicts on whether a request ran, and reasons of refusals and failures."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class Verdict(enum.StrEnum):
     """Whether a request may have run on a backend server.
 
-    NOT_RUN is a promise: no byte of the request can have reached a backend
-    server, or the server itself said that it did not run it.
+    NOT_RUN is a guarantee: no byte of the request can have reached a backend
+    server, or the server itself reported that it did not run the request.
     """
 
     NOT_RUN = "not-run"
@@ -18,7 +18,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Stable codes of refusals and failures, part of the public API."""
+    """Codes of refusals and failures; part of the public API, so stable."""
 
     BAD_REQUEST = "bad-request"
     UNAUTHORIZED = "unauthorized"
@@ -46,8 +46,8 @@
     INTERNAL = "internal"
 
 
-# Status codes of the callers' HTTP interface, by reason. A reason that is not
-# listed answers 503: the caller may come back.
+# Status codes of the callers' HTTP interface, by reason. Reasons that are not
+# listed are answered with 503: the caller may retry later.
 HTTP_STATUS: dict[Reason, int] = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHORIZED: 401,
@@ -70,9 +70,9 @@
     Reason.ANSWER_CHANGED: 502,
     Reason.INTERNAL: 500,
 }
-_STATUS_UNAVAILABLE = 503
+_SERVICE_UNAVAILABLE = 503
 
 
 def http_status(reason: Reason) -> int:
-    """Returns the HTTP status code that answers a refusal with `reason`."""
-    return HTTP_STATUS.get(reason, _STATUS_UNAVAILABLE)
+    """Returns the HTTP status code of a refusal for `reason`."""
+    return HTTP_STATUS.get(reason, _SERVICE_UNAVAILABLE)
