--- a/catkinpin/commands/__init__.py
+++ b/catkinpin/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of the command line, one module each."""
+"""Commands of the command line, and helpers that they share."""
--- a/catkinpin/commands/apply.py
+++ b/catkinpin/commands/apply.py
@@ -14,7 +14,7 @@
 from catkinpin.commands import client
 from catkinpin.settings import OperatorSettings
 
-_POLL_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 
 def apply(
@@ -28,18 +28,18 @@
     json: bool = False,
     cfg: Annotated[OperatorSettings | None, Parameter(name="*")] = None,
 ) -> None:
-    """Makes a file the configuration.
+    """Applies a configuration file.
 
-    Exits with 0 once it is accepted, 1 where it is invalid, 4 where another
-    change was first, 5 where the answer was lost, 6 where it is not in force
-    everywhere in time.
+    Exit codes: 0 if the configuration is accepted, 1 if it is invalid, 4 if
+    another change was accepted first, 5 if the answer was lost, 6 if the
+    configuration is not in force everywhere in time.
 
     Args:
-        file: the configuration, TOML or JSON.
-        base: revision that the change starts from.
-        operator: who makes the change, shown to others.
-        request_id: id of this change; give the same one to resend it.
-        wait: return only once it is in force everywhere.
+        file: the configuration file, TOML or JSON.
+        base: revision that the change is based on.
+        operator: name of the operator, shown to other operators.
+        request_id: id of this change; use the same id to resend it.
+        wait: wait until the configuration is in force everywhere.
         wait_ms: longest wait, in ms.
         json: print JSON.
         cfg: how to reach the system.
@@ -56,11 +56,13 @@
             request_id=request_id,
             headers={"Catkinpin-Base-Revision": str(base)},
         )
-        client.show(reply, json, _applied)
+        client.show(reply, json, _format_result)
         client.announce_resend(reply, request_id)
         if reply.exit_code or not wait:
             return reply.exit_code
-        return await _in_force(http, reply.body["revision"], wait_ms, json)
+        return await _wait_until_in_force(
+            http, reply.body["revision"], wait_ms, json
+        )
 
     client.run(cfg, work)
 
@@ -80,7 +82,7 @@
     client.run(cfg, work)
 
 
-def _applied(body: Any) -> str:
+def _format_result(body: Any) -> str:
     if body["accepted"]:
         return f"revision {body['revision']}"
     changed = ", ".join(body.get("changed", [])) or "nothing"
@@ -97,10 +99,14 @@
     )
 
 
-async def _in_force(
+async def _wait_until_in_force(
     http: client.Client, revision: int, wait_ms: int, as_json: bool
 ) -> int:
-    """Waits until every live process serves under a revision."""
+    """Waits until every live process serves with a revision.
+
+    Returns:
+        The exit code of the command.
+    """
     end = time.monotonic() + wait_ms / 1000
     while True:
         reply = await http.get(f"in-force?revision={revision}")
@@ -112,17 +118,17 @@
             client.show(reply, as_json, lambda _: "in force everywhere")
             return client.EXIT_OK
         if time.monotonic() > end:
-            client.show(reply, as_json, _under_replicated)
+            client.show(reply, as_json, _format_lacking)
             return client.EXIT_NOT_IN_FORCE
         if not as_json:
-            print(_under_replicated(reply.body), file=sys.stderr)
-        await asyncio.sleep(_POLL_S)
+            print(_format_lacking(reply.body), file=sys.stderr)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-def _under_replicated(body: Any) -> str:
+def _format_lacking(body: Any) -> str:
     names = [
-        f"{one['process']} (at revision {one['revision']}, may serve"
-        f" {one['lease_left_ms']} ms more)"
-        for one in body["lacking"]
+        f"{process['process']} (at revision {process['revision']}, may serve"
+        f" {process['lease_left_ms']} ms more)"
+        for process in body["lacking"]
     ]
     return f"not yet confirmed by: {', '.join(names)}"
--- a/catkinpin/commands/client.py
+++ b/catkinpin/commands/client.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: HTTP, exit codes, plain tables."""
+"""HTTP client, exit codes and text tables of the operators' commands."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_CONFLICT = 4
-EXIT_UNKNOWN = 5
+EXIT_OUTCOME_UNKNOWN = 5
 EXIT_NOT_IN_FORCE = 6
 
-_CONFLICT = 409
-_UNAVAILABLE = 503
+_STATUS_CONFLICT = 409
+_STATUS_UNAVAILABLE = 503
 
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """An answer of the system.
+    """An answer of the operators' interface.
 
     Attributes:
-        status: HTTP status; 0 where no answer came.
-        body: the JSON object.
+        status: HTTP status; 0 if no answer arrived.
+        body: the JSON object of the answer.
     """
 
     status: int
@@ -40,16 +40,16 @@
 
     @property
     def exit_code(self) -> int:
-        """The exit code that says what the answer means."""
-        if self.status in (0, _UNAVAILABLE):
-            return EXIT_UNKNOWN
-        if self.status == _CONFLICT:
+        """The exit code of a command that got this answer."""
+        if self.status in (0, _STATUS_UNAVAILABLE):
+            return EXIT_OUTCOME_UNKNOWN
+        if self.status == _STATUS_CONFLICT:
             return EXIT_CONFLICT
         return EXIT_OK if 200 <= self.status < 300 else EXIT_FAILED
 
 
 class Client:
-    """Talks to the operators' interface of an entry."""
+    """HTTP client of the operators' interface of an entry."""
 
     def __init__(self, cfg: OperatorSettings) -> None:
         self._cfg = cfg
@@ -63,7 +63,7 @@
         await self._http.close()
 
     async def get(self, path: str) -> Reply:
-        """Reads."""
+        """Sends a GET request for a path of the interface."""
         return await self._request("GET", path, b"", {})
 
     async def post(
@@ -75,13 +75,13 @@
         request_id: str = "",
         headers: dict[str, str] | None = None,
     ) -> Reply:
-        """Changes something."""
-        sent = {
+        """Sends a POST request to a path of the interface."""
+        all_headers = {
             "Catkinpin-Operator": operator,
             "Idempotency-Key": request_id,
             **(headers or {}),
         }
-        return await self._request("POST", path, data, sent)
+        return await self._request("POST", path, data, all_headers)
 
     async def _request(
         self, method: str, path: str, data: bytes, headers: dict[str, str]
@@ -102,7 +102,7 @@
 
 
 def new_request_id(given: str) -> str:
-    """Returns the id given, or a new one."""
+    """Returns the given id, or a new one if it is empty."""
     return given or uuid.uuid4().hex
 
 
@@ -110,7 +110,7 @@
     cfg: OperatorSettings,
     work: Callable[[Client], Coroutine[Any, Any, int]],
 ) -> None:
-    """Runs a command and exits with its code."""
+    """Runs a command and exits with the code that it returns."""
 
     async def main() -> int:
         async with Client(cfg) as client:
@@ -120,7 +120,13 @@
 
 
 def show(reply: Reply, as_json: bool, table: Callable[[Any], str]) -> None:
-    """Prints an answer, for a person or for a machine."""
+    """Prints an answer as JSON or as text; an error goes to standard error.
+
+    Args:
+        reply: the answer.
+        as_json: whether to print JSON.
+        table: formats the body of the answer as text.
+    """
     if as_json:
         print(json.dumps(reply.body, sort_keys=True))
     elif "error" in reply.body:
@@ -130,8 +136,8 @@
 
 
 def announce_resend(reply: Reply, request_id: str) -> None:
-    """Tells how to send a change again whose answer was lost."""
-    if reply.exit_code == EXIT_UNKNOWN:
+    """Prints how to resend a change if its answer was lost."""
+    if reply.exit_code == EXIT_OUTCOME_UNKNOWN:
         print(
             "The answer was lost; whether it was carried out is not known."
             f" Send it again with --request-id {request_id}: it is carried"
@@ -141,7 +147,7 @@
 
 
 def columns(head: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Returns a table in plain text."""
+    """Returns a plain-text table with aligned columns."""
     lines = [[str(cell) for cell in row] for row in (head, *rows)]
     widths = [max(map(len, cells)) for cells in zip(*lines, strict=True)]
     return "\n".join(
--- a/catkinpin/commands/entry.py
+++ b/catkinpin/commands/entry.py
@@ -16,10 +16,10 @@
 ) -> None:
     """Serves callers and dispatches their calls to backend servers.
 
-    Runs until SIGTERM, which takes readiness down, refuses new calls,
-    finishes those in flight and exits with 0; with 4 where that took longer
-    than the stop timeout and calls were cut off. A second signal ends the
-    process at once, with 5. Exits with 2 where a setting is invalid.
+    Runs until SIGTERM. It then reports not ready, refuses new calls, finishes
+    the calls in flight and exits with 0, or with 4 if the stop timeout passed
+    and calls were aborted. A second signal makes it exit immediately with 5.
+    Exits with 2 if a setting is invalid.
     """
     cfg = cfg or settings.defaults(EntrySettings)
     process.run(cfg, lambda: Entry(cfg))
--- a/catkinpin/commands/explain.py
+++ b/catkinpin/commands/explain.py
@@ -18,7 +18,7 @@
     json: bool = False,
     cfg: Annotated[OperatorSettings | None, Parameter(name="*")] = None,
 ) -> None:
-    """Shows which servers a recent call could have got, and their costs.
+    """Shows the candidate servers of a recent call and their costs.
 
     Args:
         call: ACCOUNT/PROGRAM/REQUEST-ID.
@@ -29,35 +29,37 @@
 
     async def work(http: client.Client) -> int:
         reply = await http.get(f"explain?call={parse.quote(call, safe='')}")
-        client.show(reply, json, _table)
+        client.show(reply, json, _format_explanation)
         return reply.exit_code
 
     client.run(cfg, work)
 
 
-def _table(body: Any) -> str:
+def _format_explanation(body: Any) -> str:
     if not body["known"]:
-        return "the leader remembers no decision about this call"
+        return "the leader holds no recent decision about this call"
     state = f"went to {body['chosen']}" if body["chosen"] else "waits"
-    who = "someone waits at a screen" if body["interactive"] else "no screen"
+    mode = "interactive" if body["interactive"] else "not interactive"
     head = (
         f"{state}, decided {body['age_ms']} ms ago at try {body['tries']};"
         f" turn {body['turns'] + 1}, {body['prompt_tokens']} tokens of which"
         f" {body['history_tokens']} are history,"
-        f" {body['attained_tokens']} served before, {who}"
+        f" {body['attained_tokens']} served before, {mode}"
     )
     rows = [
         (
-            one["server"],
-            one["wait_ms"] + one["prefill_ms"] + one["transfer_ms"],
-            one["wait_ms"],
-            one["prefill_ms"],
-            one["transfer_ms"],
-            "yes" if one["fits"] else "no",
-            f"{one['load']}/{one['capacity']}",
-            f"{one['active_tokens']}/{one['cache_tokens']}",
+            candidate["server"],
+            candidate["wait_ms"]
+            + candidate["prefill_ms"]
+            + candidate["transfer_ms"],
+            candidate["wait_ms"],
+            candidate["prefill_ms"],
+            candidate["transfer_ms"],
+            "yes" if candidate["fits"] else "no",
+            f"{candidate['load']}/{candidate['capacity']}",
+            f"{candidate['active_tokens']}/{candidate['cache_tokens']}",
         )
-        for one in body["candidates"]
+        for candidate in body["candidates"]
     ]
     names = ("server", "cost ms", "wait", "prefill", "transfer", "has room")
     table = client.columns((*names, "calls", "tokens in cache"), rows)
--- a/catkinpin/commands/logfiles.py
+++ b/catkinpin/commands/logfiles.py
@@ -1,4 +1,4 @@
-"""Decision lines out of files, or standard input."""
+"""Reads decision lines from files or standard input."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 
 def read(logs: tuple[str, ...]) -> Iterator[DecisionLine]:
-    """Yields the decision lines of files; without one, of standard input."""
-    for text in _texts(logs):
+    """Yields the decision lines of files, or of standard input without files.
+
+    Other lines are skipped.
+    """
+    for text in _read_lines(logs):
         line = joined.parse(text)
         if line is not None:
             yield line
 
 
-def _texts(logs: tuple[str, ...]) -> Iterator[str]:
+def _read_lines(logs: tuple[str, ...]) -> Iterator[str]:
     if not logs:
         yield from sys.stdin
     for name in logs:
--- a/catkinpin/commands/plan.py
+++ b/catkinpin/commands/plan.py
@@ -16,12 +16,12 @@
 
 @Parameter(name="*")
 class Options(OperatorSettings):
-    """What every command about plans takes.
+    """Options that all plan commands share.
 
     Attributes:
-        operator: who plans, shown to others.
-        request_id: id of this request; give the same one to resend it.
-        json: print JSON.
+        operator: name of the operator, shown to other operators.
+        request_id: id of this request; use the same id to resend it.
+        json_: print JSON.
     """
 
     operator: str = ""
@@ -35,36 +35,36 @@
     off: Annotated[list[str], Parameter(consume_multiple=True)],
     options: Options | None = None,
 ) -> None:
-    """Plans to take a deployment off backend servers.
+    """Plans to move a deployment off backend servers.
 
     Args:
         deployment: name of the deployment.
         off: names of the servers.
-        options: see above.
+        options: options that all plan commands share.
     """
-    _plan(options, kind="move", deployment=deployment, off=off)
+    _make_plan(options, kind="move", deployment=deployment, off=off)
 
 
 def drain(scope: Scope, name: str, *, options: Options | None = None) -> None:
-    """Plans to give a server, host, failure domain or region no new work.
+    """Plans to stop new work for a server, host, failure domain or region.
 
     Args:
-        scope: what is drained.
-        name: its name; of a host, its IP.
-        options: see above.
+        scope: kind of resource to drain.
+        name: its name; for a host, its IP.
+        options: options that all plan commands share.
     """
-    _plan(options, kind="drain", scope=scope, name=name)
+    _make_plan(options, kind="drain", scope=scope, name=name)
 
 
 def undrain(scope: Scope, name: str, *, options: Options | None = None) -> None:
-    """Plans to take a drain back.
+    """Plans to end a drain.
 
     Args:
-        scope: what is drained.
-        name: its name; of a host, its IP.
-        options: see above.
+        scope: kind of the drained resource.
+        name: its name; for a host, its IP.
+        options: options that all plan commands share.
     """
-    _plan(options, kind="undrain", scope=scope, name=name)
+    _make_plan(options, kind="undrain", scope=scope, name=name)
 
 
 def budget(
@@ -79,12 +79,12 @@
 
     Args:
         deployment: name of the deployment.
-        tokens: tokens a program may spend; 0: as it is.
-        turns: calls a program may make; 0: as it is.
-        seconds: time a program may take; 0: as it is.
-        options: see above.
+        tokens: tokens a program may spend; 0: unchanged.
+        turns: calls a program may make; 0: unchanged.
+        seconds: time a program may take; 0: unchanged.
+        options: options that all plan commands share.
     """
-    _plan(
+    _make_plan(
         options,
         kind="budget",
         deployment=deployment,
@@ -97,14 +97,14 @@
 def scale(
     deployment: str, *, servers: int, options: Options | None = None
 ) -> None:
-    """Plans how many backend servers a deployment uses for each target.
+    """Plans to set the number of backend servers for each target.
 
     Args:
         deployment: name of the deployment.
-        servers: how many.
-        options: see above.
+        servers: number of servers for each target.
+        options: options that all plan commands share.
     """
-    _plan(options, kind="scale", deployment=deployment, servers=servers)
+    _make_plan(options, kind="scale", deployment=deployment, servers=servers)
 
 
 def version(
@@ -114,15 +114,15 @@
     *,
     options: Options | None = None,
 ) -> None:
-    """Plans to bring a new version of a model, one server at a time.
+    """Plans to deploy a new version of a model, one server at a time.
 
     Args:
         deployment: name of the deployment.
-        target: the model.
-        new: the version.
-        options: see above.
+        target: name of the model.
+        new: the new version.
+        options: options that all plan commands share.
     """
-    _plan(
+    _make_plan(
         options,
         kind="version",
         deployment=deployment,
@@ -132,36 +132,36 @@
 
 
 def confirm(plan_id: str, *, options: Options | None = None) -> None:
-    """Carries out a plan, if what it was made from still holds.
+    """Carries out a plan if the state that it is based on still holds.
 
     Args:
-        plan_id: the plan.
-        options: see above.
+        plan_id: id of the plan.
+        options: options that all plan commands share.
     """
-    _act(plan_id, "confirm", options)
+    _act_on_plan(plan_id, "confirm", options)
 
 
 def stop(plan_id: str, *, options: Options | None = None) -> None:
-    """Stops a plan where it stands; what it changed stays.
+    """Stops a plan at its current step; its changes stay in force.
 
     Args:
-        plan_id: the plan.
-        options: see above.
+        plan_id: id of the plan.
+        options: options that all plan commands share.
     """
-    _act(plan_id, "stop", options)
+    _act_on_plan(plan_id, "stop", options)
 
 
 def undo(plan_id: str, *, options: Options | None = None) -> None:
-    """Takes back what a plan has changed, at whatever step it is.
+    """Reverts the changes of a plan, whatever its current step.
 
     Args:
-        plan_id: the plan.
-        options: see above.
+        plan_id: id of the plan.
+        options: options that all plan commands share.
     """
-    _act(plan_id, "undo", options)
+    _act_on_plan(plan_id, "undo", options)
 
 
-def _plan(options: Options | None, **intent: Any) -> None:
+def _make_plan(options: Options | None, **intent: Any) -> None:
     opts = options or settings.defaults(Options)
     request_id = client.new_request_id(opts.request_id)
 
@@ -172,28 +172,28 @@
             operator=opts.operator,
             request_id=request_id,
         )
-        client.show(reply, opts.json_, _shown)
+        client.show(reply, opts.json_, _format_plan)
         client.announce_resend(reply, request_id)
         return reply.exit_code
 
     client.run(opts, work)
 
 
-def _act(plan_id: str, verb: str, options: Options | None) -> None:
+def _act_on_plan(plan_id: str, verb: str, options: Options | None) -> None:
     opts = options or settings.defaults(Options)
 
     async def work(http: client.Client) -> int:
         path = f"plans/{plan_id}/{verb}"
         reply = await http.post(path, operator=opts.operator)
-        client.show(reply, opts.json_, _acted)
-        if reply.exit_code == client.EXIT_UNKNOWN:
-            print("Send it again: it is carried out once.")
+        client.show(reply, opts.json_, _format_progress)
+        if reply.exit_code == client.EXIT_OUTCOME_UNKNOWN:
+            print("Run it again: it is carried out only once.")
         return reply.exit_code
 
     client.run(opts, work)
 
 
-def _acted(body: Any) -> str:
+def _format_progress(body: Any) -> str:
     problems = body.get("problems", [])
     if problems:
         return "not carried out:\n" + "\n".join(f"  {p}" for p in problems)
@@ -201,7 +201,7 @@
     return f"{progress['plan_id']}: {progress['state']}"
 
 
-def _shown(body: Any) -> str:
+def _format_plan(body: Any) -> str:
     plan = body.get("plan")
     if plan is None:
         problems = [f"  {problem}" for problem in body["problems"]]
--- a/catkinpin/commands/repair.py
+++ b/catkinpin/commands/repair.py
@@ -13,7 +13,7 @@
 from catkinpin.settings import OperatorSettings
 
 _PATH = "/v1/operator/repair"
-_POLL_S = 0.5
+_POLL_INTERVAL_S = 0.5
 _EXIT_NOT_SAFE = 4
 
 
@@ -22,21 +22,21 @@
     *,
     cfg: Annotated[OperatorSettings | None, Parameter(name="*")] = None,
 ) -> None:
-    """Lets a replica with an empty data folder replace the one lost there.
+    """Replaces a replica whose disk was lost by one with an empty data folder.
 
-    Waits until the new replica votes in all groups and holds their logs, and
-    says so: until then the loss of another replica may stop the system. Exits
-    with 4 where that is not reached in time; run it again to go on.
+    Waits until the new replica votes in all groups and holds their logs. Until
+    then, the loss of another replica may stop the system. Exits with 4 if that
+    state is not reached in time; run the command again to continue.
 
     Args:
         replica: admin address (URL) of the replica with the empty folder.
-        cfg: the operators' key, and how long to wait.
+        cfg: the operators' key and the longest wait.
     """
     cfg = cfg or settings.defaults(OperatorSettings)
-    sys.exit(asyncio.run(_repair(cfg, replica.rstrip("/") + _PATH)))
+    sys.exit(asyncio.run(_request_repair(cfg, replica.rstrip("/") + _PATH)))
 
 
-async def _repair(cfg: OperatorSettings, url: str) -> int:
+async def _request_repair(cfg: OperatorSettings, url: str) -> int:
     headers = {"Authorization": f"Bearer {cfg.operator_key}"}
     loop = asyncio.get_running_loop()
     deadline = loop.time() + cfg.timeout_ms / 1000
@@ -53,12 +53,12 @@
                 print(f"safe: votes in all {state['groups']} groups")
                 return 0
             if loop.time() > deadline:
-                print(_not_safe(state))
+                print(_format_not_safe(state))
                 return _EXIT_NOT_SAFE
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-def _not_safe(state: dict[str, Any]) -> str:
+def _format_not_safe(state: dict[str, Any]) -> str:
     waiting = ", ".join(state["waiting"])
     return (
         f"NOT SAFE yet, {state['state']}: waiting for {waiting};"
--- a/catkinpin/commands/replica.py
+++ b/catkinpin/commands/replica.py
@@ -14,10 +14,10 @@
 def run(
     cfg: Annotated[ReplicaSettings | None, Parameter(name="*")] = None,
 ) -> None:
-    """Keeps the state of the system on this host's disk and decides.
+    """Stores the state of the system on this host's disk and takes decisions.
 
-    Runs until SIGTERM. Exits with 2 where a setting is invalid, with 3 where
-    the data folder can't be used.
+    Runs until SIGTERM. Exits with 2 if a setting is invalid, with 3 if the
+    data folder can't be used.
     """
     cfg = cfg or settings.defaults(ReplicaSettings)
     process.run(cfg, lambda: Replica(cfg))
--- a/catkinpin/commands/status.py
+++ b/catkinpin/commands/status.py
@@ -1,4 +1,4 @@
-"""The command `catkinpin status`, and lifting of quarantines."""
+"""The commands `catkinpin status` and `catkinpin lift`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from catkinpin.commands import client
 from catkinpin.settings import OperatorSettings
 
-_EVERY_S = 1.0
+_WATCH_INTERVAL_S = 1.0
 
 
 def status(
@@ -23,8 +23,8 @@
     """Shows processes, backend servers and the progress of plans.
 
     Args:
-        watch: show it again every second, until interrupted.
-        json: print JSON, one object a line.
+        watch: repeat every second until interrupted.
+        json: print JSON, one object per line.
         cfg: how to reach the system.
     """
     cfg = cfg or settings.defaults(OperatorSettings)
@@ -32,10 +32,10 @@
     async def work(http: client.Client) -> int:
         while True:
             reply = await http.get("status")
-            client.show(reply, json, _table)
+            client.show(reply, json, _format_status)
             if not watch:
                 return reply.exit_code
-            await asyncio.sleep(_EVERY_S)
+            await asyncio.sleep(_WATCH_INTERVAL_S)
 
     client.run(cfg, work)
 
@@ -49,8 +49,9 @@
     """Lets quarantined requests run again.
 
     Args:
-        fingerprint: of the requests' content, as `catkinpin status` shows it.
-        operator: who decides so.
+        fingerprint: fingerprint of the requests' content, as shown by
+            `catkinpin status`.
+        operator: name of the operator.
         cfg: how to reach the system.
     """
     cfg = cfg or settings.defaults(OperatorSettings)
@@ -64,7 +65,7 @@
     client.run(cfg, work)
 
 
-def _table(body: Any) -> str:
+def _format_status(body: Any) -> str:
     who = body["operator"] or "an operator"
     parts = [f"revision {body['revision']} by {who}"]
     parts.append(
@@ -72,13 +73,13 @@
             ("process", "role", "failure domain", "revision", "lease ms"),
             [
                 (
-                    one["process"],
-                    one["role"],
-                    one["domain"],
-                    one["revision"],
-                    one["lease_left_ms"] or "lapsed",
+                    process["process"],
+                    process["role"],
+                    process["domain"],
+                    process["revision"],
+                    process["lease_left_ms"] or "lapsed",
                 )
-                for one in body.get("processes", [])
+                for process in body.get("processes", [])
             ],
         )
     )
@@ -87,32 +88,33 @@
             ("server", "serves", "failure domain", "state", "load"),
             [
                 (
-                    one["server"],
-                    ",".join(one["serves"]),
-                    one["domain"],
-                    one["state"],
-                    f"{one['running']}+{one['waiting']}/{one['capacity']}",
+                    server["server"],
+                    ",".join(server["serves"]),
+                    server["domain"],
+                    server["state"],
+                    f"{server['running']}+{server['waiting']}"
+                    f"/{server['capacity']}",
                 )
-                for one in body.get("servers", [])
+                for server in body.get("servers", [])
             ],
         )
     )
-    parts += [_plan(one) for one in body.get("plans", [])]
+    parts += [_format_plan(plan) for plan in body.get("plans", [])]
     for fingerprint, reason in body.get("quarantined", {}).items():
         parts.append(f"quarantined {fingerprint}: {reason}")
     return "\n\n".join(parts) + "\n"
 
 
-def _plan(one: Any) -> str:
+def _format_plan(plan: Any) -> str:
     lines = [
-        f"{one['plan_id']} by {one['operator'] or 'an operator'}:"
-        f" {one['state']}, step {one['step']} of {len(one['steps'])} done;"
-        f" {one.get('calls_left', 0)} calls and"
-        f" {one.get('programs_left', 0)} programs still on its servers"
+        f"{plan['plan_id']} by {plan['operator'] or 'an operator'}:"
+        f" {plan['state']}, step {plan['step']} of {len(plan['steps'])} done;"
+        f" {plan.get('calls_left', 0)} calls and"
+        f" {plan.get('programs_left', 0)} programs still on its servers"
     ]
-    for number, text in enumerate(one["steps"]):
-        mark = "x" if number < one["step"] else " "
+    for number, text in enumerate(plan["steps"]):
+        mark = "x" if number < plan["step"] else " "
         lines.append(f"  [{mark}] {text}")
-    if one.get("note"):
-        lines.append(f"  {one['note']}")
+    if plan.get("note"):
+        lines.append(f"  {plan['note']}")
     return "\n".join(lines)
--- a/catkinpin/commands/timeline.py
+++ b/catkinpin/commands/timeline.py
@@ -1,4 +1,4 @@
-"""The command `catkinpin timeline`: what a restart was made up of, by logs."""
+"""The command `catkinpin timeline`, which shows restarts found in logs."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 
 def show(*logs: str) -> None:
-    """Shows for each restart what happened when, from the last line before.
+    """Shows the steps of each restart, timed from the last line before it.
 
-    Reads files that hold what gateways, keepers and stores wrote to standard
-    output, in any order; without a file, standard input. Processes that start
-    within two seconds of each other are one restart.
+    Reads files with the standard output of gateways, keepers and stores, in
+    any order, or standard input if no file is given. Processes that start
+    within two seconds of each other count as one restart.
 
     Args:
-        logs: files with lines.
+        logs: files with decision lines.
     """
-    found = timeline.find_restarts(list(logfiles.read(logs)))
-    if not found:
+    restarts = timeline.find_restarts(list(logfiles.read(logs)))
+    if not restarts:
         print("no line records a start", file=sys.stderr)
         sys.exit(exits.FAILED)
-    for restart in found:
-        _print(restart)
+    for restart in restarts:
+        _print_restart(restart)
 
 
-def _print(restart: Restart) -> None:
+def _print_restart(restart: Restart) -> None:
     begin_ms = restart.steps[0].first.at_ms
     print(f"{len(restart.processes)} processes: {', '.join(restart.processes)}")
     for step in restart.steps:
-        print("  " + _text(step, begin_ms))
+        print("  " + _format_step(step, begin_ms))
 
 
-def _text(step: Step, begin_ms: int) -> str:
+def _format_step(step: Step, begin_ms: int) -> str:
     first = f"{step.first.at_ms - begin_ms:+7d} ms {step.name}"
     if step.processes == 1:
         return f"{first}: {step.first.process}"
--- a/catkinpin/commands/why.py
+++ b/catkinpin/commands/why.py
@@ -1,4 +1,4 @@
-"""The command `catkinpin why`: from a request's id to its cause, by logs."""
+"""The command `catkinpin why`, which shows log lines related to a request."""
 
 from __future__ import annotations
 
@@ -12,66 +12,72 @@
 if TYPE_CHECKING:
     from catkinpin.joined import DecisionLine
 
-_PARTS = (
+_SECTIONS = (
     ("request", "the request"),
     ("program", "its program's other requests"),
     ("servers", "the servers that it was sent to"),
     ("system", "processes, leaders and routes around it"),
 )
-# Of each part but the request's own; the nearest in time are shown.
-_MAX_LINES = 40
-# Lines that say the same within the same second are shown as one.
-_SIMILAR_MS = 1_000
+# Limit per section; the groups closest in time to the request are shown.
+_MAX_GROUPS = 40
+# Equal lines within the same second are shown as one.
+_MERGE_WINDOW_MS = 1_000
 
 
 def why(request: str, *logs: str) -> None:
-    """Joins the decision lines of all processes around one request.
+    """Shows the decision lines of all processes that relate to one request.
 
-    Reads files that hold what gateways, keepers and stores wrote to standard
-    output, in any order; without a file, standard input. Times are those of
-    the hosts that wrote the lines, and may differ by their clocks.
+    Reads files with the standard output of gateways, keepers and stores, in
+    any order, or standard input if no file is given. Times come from the
+    clocks of the hosts that wrote the lines, which may differ.
 
     Args:
-        request: the request's id.
-        logs: files with lines.
+        request: id of the request.
+        logs: files with decision lines.
     """
-    story = joined.join(logfiles.read(logs), request)
-    if not story.request:
+    report = joined.join(logfiles.read(logs), request)
+    if not report.request:
         print(f"no line names {request}", file=sys.stderr)
         sys.exit(exits.FAILED)
-    end_ms = story.request[-1].at_ms
-    for part, title in _PARTS:
+    end_ms = report.request[-1].at_ms
+    for section, title in _SECTIONS:
         print(f"{title}:")
-        for same in _nearest(_alike(getattr(story, part)), end_ms):
-            print("  " + _text(same, end_ms))
+        for group in _nearest_groups(
+            _group_equal_lines(getattr(report, section)), end_ms
+        ):
+            print("  " + _format_group(group, end_ms))
 
 
-def _alike(lines: list[DecisionLine]) -> list[list[DecisionLine]]:
-    """Returns lines in groups of what several processes say alike.
+def _group_equal_lines(lines: list[DecisionLine]) -> list[list[DecisionLine]]:
+    """Returns lines in groups that differ only in their process.
 
-    All gateways hear of each server; one line for all leaves room for more.
+    All gateways report each server; one line for all of them leaves space for
+    other lines.
     """
     groups: dict[str, list[DecisionLine]] = {}
     for line in lines:
-        said = f"{line.decision} {line.at_ms // _SIMILAR_MS} {_facts(line)}"
-        groups.setdefault(said, []).append(line)
+        key = (
+            f"{line.decision} {line.at_ms // _MERGE_WINDOW_MS}"
+            f" {_format_fields(line)}"
+        )
+        groups.setdefault(key, []).append(line)
     return list(groups.values())
 
 
-def _nearest(
+def _nearest_groups(
     groups: list[list[DecisionLine]], end_ms: int
 ) -> list[list[DecisionLine]]:
-    by_distance = sorted(groups, key=lambda same: abs(same[0].at_ms - end_ms))
-    return sorted(by_distance[:_MAX_LINES], key=lambda same: same[0].at_ms)
+    by_distance = sorted(groups, key=lambda group: abs(group[0].at_ms - end_ms))
+    return sorted(by_distance[:_MAX_GROUPS], key=lambda group: group[0].at_ms)
 
 
-def _facts(line: DecisionLine) -> str:
+def _format_fields(line: DecisionLine) -> str:
     return " ".join(f"{k}={json.dumps(v)}" for k, v in line.fields.items())
 
 
-def _text(same: list[DecisionLine], end_ms: int) -> str:
-    line = same[0]
-    others = f" and {len(same) - 1} more" if len(same) > 1 else ""
-    away_ms = line.at_ms - end_ms
+def _format_group(group: list[DecisionLine], end_ms: int) -> str:
+    line = group[0]
+    others = f" and {len(group) - 1} more" if len(group) > 1 else ""
+    offset_ms = line.at_ms - end_ms
     who = f"{line.process}{others}"
-    return f"{away_ms:+7d} ms {who} {line.decision} {_facts(line)}"
+    return f"{offset_ms:+7d} ms {who} {line.decision} {_format_fields(line)}"
--- a/catkinpin/joined.py
+++ b/catkinpin/joined.py
@@ -1,9 +1,9 @@
-"""Decision lines of many processes, joined around one request.
+"""Finds the decision lines of all processes that relate to one request.
 
-Each process writes what it decided; a failure's cause is mostly in another
-process's lines than the request's own. So the lines that touch the request's
-program, the servers that it was sent to and the leaders of the time go with
-it, in the order of their times.
+Each process logs its decisions. The cause of a failure is usually not in the
+request's own lines, but in those of another process. So the lines about the
+request's program, about the servers that it was sent to and about the leaders
+at that time are listed with it, ordered by time.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Lines about servers, leaders and processes count so long around a request.
-# An ejection lasts up to 6 s, a server is missed after 15 s.
-NEAR_MS = 15_000
-# Decisions about the whole system rather than one request.
-_SYSTEM = frozenset(
+# Lines about servers, leaders and processes are included if they are at most
+# this far from the request. An ejection lasts up to 6 s, and the absence of a
+# server is noticed after 15 s.
+RELATED_WINDOW_MS = 15_000
+# Decisions that concern the whole system and not a single request.
+_SYSTEM_DECISIONS = frozenset(
     {
         "start",
         "stop",
@@ -39,12 +40,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class DecisionLine:
-    """One decision.
+    """A logged decision.
 
     Attributes:
-        at_ms: Unix time at the process that wrote it.
-        process: who wrote it.
-        decision: what was decided.
+        at_ms: Unix time by the clock of the process that wrote the line.
+        process: name of the process that wrote the line.
+        decision: the kind of decision.
         fields: all other fields of the line.
     """
 
@@ -55,20 +56,22 @@
 
     @property
     def servers(self) -> list[str]:
-        """The servers that it names."""
-        named = self.fields.get("servers") or [self.fields.get("server")]
-        return [one for one in named if one]
+        """Names of the servers that the line mentions."""
+        values = self.fields.get("servers") or [self.fields.get("server")]
+        return [server for server in values if server]
 
 
 @dataclasses.dataclass
 class RequestReport:
-    """What is known of one request.
+    """The lines that relate to one request, each list ordered by time.
 
     Attributes:
-        request: its own lines.
-        program: lines of its program's other requests.
-        servers: lines about the servers that it was sent to, near it.
-        system: lines about processes, leaders and routes, near it.
+        request: the request's own lines.
+        program: lines of other requests of its program.
+        servers: lines about the servers that the request was sent to, within
+            RELATED_WINDOW_MS of it.
+        system: lines about processes, leaders and routes, within
+            RELATED_WINDOW_MS of the request.
     """
 
     request: list[DecisionLine] = dataclasses.field(default_factory=list)
@@ -78,9 +81,9 @@
 
 
 def parse(text: str) -> DecisionLine | None:
-    """Returns a decision line; None for whatever else a process wrote.
+    """Returns the decision in a line of output, None if there is none.
 
-    A collector may have put a prefix before the JSON object.
+    A log collector may have added a prefix before the JSON object.
     """
     start = text.find("{")
     if start < 0:
@@ -98,26 +101,26 @@
 
 
 def join(lines: Iterable[DecisionLine], request: str) -> RequestReport:
-    """Returns what the lines tell about a request, each part by time."""
+    """Returns the lines that relate to a request."""
     ordered = sorted(lines, key=lambda line: line.at_ms)
     own = [ln for ln in ordered if ln.fields.get("request") == request]
-    story = RequestReport(request=own)
+    report = RequestReport(request=own)
     if not own:
-        return story
+        return report
     programs = {ln.fields["program"] for ln in own if ln.fields.get("program")}
     servers = {name for ln in own for name in ln.servers}
-    took_ms = max(int(ln.fields.get("took_ms", 0)) for ln in own)
-    first_ms = own[0].at_ms - took_ms - NEAR_MS
-    last_ms = own[-1].at_ms + NEAR_MS
+    duration_ms = max(int(ln.fields.get("took_ms", 0)) for ln in own)
+    first_ms = own[0].at_ms - duration_ms - RELATED_WINDOW_MS
+    last_ms = own[-1].at_ms + RELATED_WINDOW_MS
     for line in ordered:
         if line.fields.get("request") == request:
             continue
         if line.fields.get("program") in programs:
-            story.program.append(line)
+            report.program.append(line)
         elif not first_ms <= line.at_ms <= last_ms:
             continue
         elif "request" not in line.fields and servers & set(line.servers):
-            story.servers.append(line)
-        elif line.decision in _SYSTEM:
-            story.system.append(line)
-    return story
+            report.servers.append(line)
+        elif line.decision in _SYSTEM_DECISIONS:
+            report.system.append(line)
+    return report
--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -36,7 +36,7 @@
 class JoinTest(base.TestCase):
     """Which lines go with a request, and which don't."""
 
-    def _story(self) -> joined.RequestReport:
+    def _report(self) -> joined.RequestReport:
         lines = [ln for text in _LOG if (ln := joined.parse(text))]
         return joined.join(reversed(lines), "r1")
 
@@ -45,14 +45,16 @@
 
         Its server crashed, which another process noticed.
         """
-        story = self._story()
-        self.assertEqual([100_050], [ln.at_ms for ln in story.request])
-        self.assertEqual(["r0"], [ln.fields["request"] for ln in story.program])
+        report = self._report()
+        self.assertEqual([100_050], [ln.at_ms for ln in report.request])
         self.assertEqual(
-            ["ejected", "crash-report"], [ln.decision for ln in story.servers]
+            ["r0"], [ln.fields["request"] for ln in report.program]
         )
         self.assertEqual(
-            ["leader", "leadership"], [ln.decision for ln in story.system]
+            ["ejected", "crash-report"], [ln.decision for ln in report.servers]
+        )
+        self.assertEqual(
+            ["leader", "leadership"], [ln.decision for ln in report.system]
         )
 
     def test_other_words_in_a_log_are_passed_over(self) -> None:
