--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Rules of structure and of names that hold for the whole tree."""
+"""Rules of structure and naming that hold for the whole source tree."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 _PACKAGES = ("catkinpin", "bench")
 _MAX_MODULE_LINES = 450
 _MAX_FUNCTION_LINES = 50
-# Words that were replaced by terms of the field; see the vocabulary page.
+# Words that names may not use; the vocabulary page has the terms to use.
 _RETIRED_WORDS = re.compile(
     r"(^|_)(told|telling|condemn\w*|struck|welcome|fates?|aboard|born|life"
     r"|most|breath|office|patience)(_|$)"
@@ -24,18 +24,18 @@
 )
 
 
-def _files(*folders: str) -> list[pathlib.Path]:
+def _python_files(*folders: str) -> list[pathlib.Path]:
     found = [(processes.ROOT / name).rglob("*.py") for name in folders]
     return sorted(path for paths in found for path in paths)
 
 
-def _module(path: pathlib.Path) -> str:
+def _module_name(path: pathlib.Path) -> str:
     parts = path.relative_to(processes.ROOT).with_suffix("").parts
     return ".".join(part for part in parts if part != "__init__")
 
 
-def _imports(path: pathlib.Path, modules: set[str]) -> set[str]:
-    """Returns the modules that a file imports, for type checking included."""
+def _imported_modules(path: pathlib.Path, modules: set[str]) -> set[str]:
+    """Returns the modules that a file imports, also those for type checking."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -47,35 +47,41 @@
     return found & modules
 
 
-def _without_leaves(graph: dict[str, set[str]]) -> set[str]:
-    """Returns the modules that are left once all that end are taken off."""
-    left = dict(graph)
+def _find_cyclic_imports(graph: dict[str, set[str]]) -> set[str]:
+    """Returns the modules in an import cycle and those that import them."""
+    remaining = dict(graph)
     while True:
-        ends = {name for name, uses in left.items() if not uses & set(left)}
-        if not ends:
-            return set(left)
-        left = {name: uses for name, uses in left.items() if name not in ends}
+        leaves = {
+            name
+            for name, uses in remaining.items()
+            if not uses & set(remaining)
+        }
+        if not leaves:
+            return set(remaining)
+        remaining = {
+            name: uses for name, uses in remaining.items() if name not in leaves
+        }
 
 
 class StructureTest(base.TestCase):
-    """Imports and sizes."""
+    """Rules of imports and of sizes."""
 
     def test_no_module_imports_itself_in_a_circle(self) -> None:
-        paths = {_module(path): path for path in _files(*_PACKAGES)}
+        paths = {_module_name(path): path for path in _python_files(*_PACKAGES)}
         modules = set(paths)
         graph = {
-            name: _imports(path, modules) - {name}
+            name: _imported_modules(path, modules) - {name}
             for name, path in paths.items()
         }
-        self.assertEqual(set(), _without_leaves(graph))
+        self.assertEqual(set(), _find_cyclic_imports(graph))
 
     def test_adapters_import_no_command(self) -> None:
-        for path in _files("catkinpin/adapters", "catkinpin/core"):
+        for path in _python_files("catkinpin/adapters", "catkinpin/core"):
             self.assertNotIn("catkinpin.commands", path.read_text(), path.name)
 
     def test_modules_and_functions_stay_short(self) -> None:
         found = []
-        for path in _files("catkinpin", "platform"):
+        for path in _python_files("catkinpin", "platform"):
             text = path.read_text()
             if len(text.splitlines()) > _MAX_MODULE_LINES:
                 found.append(str(path))
@@ -88,11 +94,11 @@
 
 
 class NamesTest(base.TestCase):
-    """Words that may not come back."""
+    """Rules of names."""
 
     def test_no_name_uses_a_retired_word(self) -> None:
         found = []
-        for path in _files("catkinpin"):
+        for path in _python_files("catkinpin"):
             lines = io.StringIO(path.read_text()).readline
             for token in tokenize.generate_tokens(lines):
                 is_name = token.type == tokenize.NAME
--- a/tests/test_joined.py
+++ b/tests/test_joined.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by logs alone."""
+"""Decision lines of many processes that relate to one request."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def _line(at_ms: int, process: str, decision: str, **fields: Any) -> str:
-    told = {"at_ms": at_ms, "process": process, "decision": decision, **fields}
-    return json.dumps(told)
+    entry = {"at_ms": at_ms, "process": process, "decision": decision, **fields}
+    return json.dumps(entry)
 
 
-_LOG = [
+_LOG_LINES = [
     _line(90_000, "keeper-1", "leader", address="10.0.0.1:1", term=3),
     _line(99_100, "keeper-2", "leadership", leading=True, term=4),
     _line(99_900, "gateway-2", "served", request="r0", program="p"),
@@ -34,16 +34,17 @@
 
 
 class JoinTest(base.TestCase):
-    """Which lines go with a request, and which don't."""
+    """The lines that are shown for a request, and those that are not."""
 
     def _report(self) -> joined.RequestReport:
-        lines = [ln for text in _LOG if (ln := joined.parse(text))]
+        lines = [ln for text in _LOG_LINES if (ln := joined.parse(text))]
         return joined.join(reversed(lines), "r1")
 
     def test_lines_of_program_servers_and_leaders_go_with_it(self) -> None:
-        """A tool call got 502; whoever is on call has only its id.
+        """Guards against a failure whose cause isn't shown with its request.
 
-        Its server crashed, which another process noticed.
+        A tool call got 502 because its server crashed. Another process
+        noticed the crash; the on-call engineer has only the request's id.
         """
         report = self._report()
         self.assertEqual([100_050], [ln.at_ms for ln in report.request])
@@ -57,16 +58,16 @@
             ["leader", "leadership"], [ln.decision for ln in report.system]
         )
 
-    def test_other_words_in_a_log_are_passed_over(self) -> None:
+    def test_other_output_in_a_log_is_ignored(self) -> None:
         texts = ["", "peer silent", "{broken", "[1]", '{"at_ms": "x"}', "{}"]
         self.assertEqual([None] * 6, [joined.parse(text) for text in texts])
-        line = joined.parse("  12.5 gateway-1 " + _LOG[2])
+        line = joined.parse("  12.5 gateway-1 " + _LOG_LINES[2])
         assert line is not None
         self.assertEqual("served", line.decision)
 
     def _run(self, request: str) -> subprocess.CompletedProcess[str]:
         log = self.folder / "gateway-1.out"
-        log.write_text("\n".join(_LOG))
+        log.write_text("\n".join(_LOG_LINES))
         return subprocess.run(
             [sys.executable, "-m", "catkinpin", "why", request, str(log)],
             cwd=processes.ROOT,
@@ -77,13 +78,13 @@
         )
 
     def test_command_prints_the_parts_with_times_around_the_end(self) -> None:
-        done = self._run("r1")
-        self.assertEqual(0, done.returncode, done.stderr)
-        self.assertIn("+0 ms gateway-1 failed request", done.stdout)
-        self.assertIn("+250 ms keeper-2 crash-report", done.stdout)
-        self.assertNotIn('"r2"', done.stdout)
+        completed = self._run("r1")
+        self.assertEqual(0, completed.returncode, completed.stderr)
+        self.assertIn("+0 ms gateway-1 failed request", completed.stdout)
+        self.assertIn("+250 ms keeper-2 crash-report", completed.stdout)
+        self.assertNotIn('"r2"', completed.stdout)
 
     def test_command_says_so_where_no_line_names_the_request(self) -> None:
-        done = self._run("never")
-        self.assertEqual(1, done.returncode)
-        self.assertIn("no line names never", done.stderr)
+        completed = self._run("never")
+        self.assertEqual(1, completed.returncode)
+        self.assertIn("no line names never", completed.stderr)
--- a/tests/test_listening.py
+++ b/tests/test_listening.py
@@ -1,4 +1,4 @@
-"""Ports that are open before their process is loaded."""
+"""Listening sockets opened before the rest of a process is loaded."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 if TYPE_CHECKING:
     from catkinpin.adapters.http.server import Request, Responder
 
-_WAIT_S = 5.0
-_HEAVY = ("asyncio", "msgspec", "uvloop", "logging", "prometheus_client")
-_BEFORE_OPENING = f"""
+_TIMEOUT_S = 5.0
+_SLOW_IMPORTS = ("asyncio", "msgspec", "uvloop", "logging", "prometheus_client")
+_PRINT_IMPORTS_BEFORE_OPENING = f"""
 import sys
 sys.path.insert(0, "platform")
 import nodefile
 from catkinpin import listening
-print([name for name in {_HEAVY} if name in sys.modules])
+print([name for name in {_SLOW_IMPORTS} if name in sys.modules])
 """
 
 
@@ -31,31 +31,31 @@
 
 
 class ListeningTest(base.TestCase):
-    """Callers that come back while a process starts."""
+    """Callers that connect while a process starts."""
 
     def test_request_sent_before_the_server_starts_is_answered(self) -> None:
         """Guards against refused connections during a process's start."""
         (port,) = ports.free_ports(1)
         address = f"127.0.0.1:{port}"
         listening.open_early(address)
-        caller = socket.create_connection(("127.0.0.1", port), _WAIT_S)
+        caller = socket.create_connection(("127.0.0.1", port), _TIMEOUT_S)
         self.addCleanup(caller.close)
         caller.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
         caller.setblocking(False)
 
-        async def play() -> bytes:
+        async def serve_request() -> bytes:
             server = HttpServer(_answer)
             await server.start(address)
             loop = asyncio.get_running_loop()
-            async with asyncio.timeout(_WAIT_S):
+            async with asyncio.timeout(_TIMEOUT_S):
                 data = await loop.sock_recv(caller, 100)
             await server.stop()
             return data
 
-        self.assertIn(b" 200 ", asyncio.run(play()))
+        self.assertIn(b" 200 ", asyncio.run(serve_request()))
 
     def test_opened_socket_is_claimed_once(self) -> None:
-        """Guards against two servers that share one socket."""
+        """Guards against two servers that use the same socket."""
         (port,) = ports.free_ports(1)
         address = f"127.0.0.1:{port}"
         listening.open_early(address)
@@ -65,13 +65,13 @@
         self.assertIsNone(listening.claim_socket(address))
 
     def test_nothing_heavy_is_loaded_before_the_port_opens(self) -> None:
-        """Guards against imports that keep the port closed for longer."""
-        done = subprocess.run(
-            [sys.executable, "-S", "-c", _BEFORE_OPENING],
+        """Guards against slow imports that delay the opening of the port."""
+        completed = subprocess.run(
+            [sys.executable, "-S", "-c", _PRINT_IMPORTS_BEFORE_OPENING],
             cwd=processes.ROOT,
             capture_output=True,
             text=True,
             timeout=60,
             check=True,
         )
-        self.assertEqual("[]", done.stdout.strip())
+        self.assertEqual("[]", completed.stdout.strip())
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -6,17 +6,18 @@
 
 
 class ReleaseTest(base.TestCase):
-    """No engine memory stays held for programs that are gone."""
+    """The engine memory of ended programs is released."""
 
     def test_ended_program_is_released(self) -> None:
-        """One program is ended by its caller, another was never given a name.
+        """Guards against ended programs that fill the engine's cache for good.
 
-        Without orders to release them, both would fill the engine's cache for
-        good and make other programs' prompts slow.
+        One program is ended by its caller, another has no name and so ends
+        with its only call. Without orders to release them, both would stay in
+        the cache and slow down other programs' prompts.
         """
-        self.run_async(self._ended())
+        self.run_async(self._release_ended_programs())
 
-    async def _ended(self) -> None:
+    async def _release_ended_programs(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             for name in ("kept", "gone", "other"):
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -13,9 +13,9 @@
 from catkinpin.exceptions import SettingsError
 from tests import base, processes
 
-_WAIT_S = 10.0
+_TIMEOUT_S = 10.0
 _NEW_SEEDS = ["127.0.0.1:2"]
-_EARLY = """
+_PRINT_SIGHUP_HANDLING = """
 import signal, sys
 from catkinpin import __main__ as programs
 loaded = [name for name in ("pydantic", "cyclopts") if name in sys.modules]
@@ -48,7 +48,7 @@
 [bounds]
 grace_s = 8
 """
-_LOADED = """
+_PRINT_LOADED_LIBRARIES = """
 import sys
 sys.path.insert(0, "platform")
 import control, names, nodefile, settings
@@ -61,12 +61,13 @@
 
 
 class RolesTest(base.TestCase):
-    """What an operator who deploys them meets."""
+    """Validation of settings, and the memory that the processes take."""
 
     def test_every_problem_is_listed_at_once(self) -> None:
-        """The platform's file has a wrong port, a negative time and no seeds.
+        """Guards against a start that reports only the first invalid setting.
 
-        One start names all; nothing is served with half of them.
+        The platform's file has an invalid port, an address without a port, a
+        negative timeout and no seeds.
         """
         exc = self.assertRaises(
             SettingsError,
@@ -91,33 +92,33 @@
         self.assertEqual(pathlib.Path("x"), cfg.data_folder)
 
     def test_these_processes_load_no_heavy_library(self) -> None:
-        """A library that one role needs is imported by all.
+        """Guards against an import that brings a heavy library into all roles.
 
-        Each of a hundred hosts pays for it in memory, and all callers wait
-        longer after everything was restarted.
+        It would take memory on each of a hundred hosts, and callers would
+        wait longer after a restart of the whole system.
         """
-        done = subprocess.run(
-            [sys.executable, "-c", _LOADED],
+        completed = subprocess.run(
+            [sys.executable, "-c", _PRINT_LOADED_LIBRARIES],
             cwd=processes.ROOT,
             capture_output=True,
             text=True,
             timeout=60,
             check=True,
         )
-        self.assertEqual("[]", done.stdout.strip())
+        self.assertEqual("[]", completed.stdout.strip())
 
 
 class DataFolderTest(base.TestCase):
     """A data folder that can't be used."""
 
-    def test_data_folder_that_is_none_ends_with_one_line(self) -> None:
-        """Guards against a traceback in place of what is wrong, and where."""
+    def test_unusable_data_folder_ends_with_one_line(self) -> None:
+        """Guards against a traceback instead of a line that names the path."""
         file = self.folder / "file"
         file.touch()
         for role in ("keeper", "store"):
             settings = self.folder / f"{role}.toml"
             settings.write_text(_NODE_FILE.format(folder=file / "data"))
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "platform", role],
                 cwd=processes.ROOT,
                 env={
@@ -126,15 +127,15 @@
                 },
                 capture_output=True,
                 text=True,
-                timeout=_WAIT_S,
+                timeout=_TIMEOUT_S,
             )
-            self.assertEqual(3, done.returncode, done.stderr)
-            (line,) = done.stderr.splitlines()
+            self.assertEqual(3, completed.returncode, completed.stderr)
+            (line,) = completed.stderr.splitlines()
             self.assertIn(f"{file}/data", line)
 
 
 class ReloadSignalTest(base.TestCase):
-    """A reload signal that comes before a process can handle it."""
+    """A reload signal that arrives before a process can handle it."""
 
     def test_signal_during_a_start_does_not_end_the_process(self) -> None:
         """Guards against SIGHUP's default action while settings are read."""
@@ -150,41 +151,45 @@
             stderr=subprocess.PIPE,
         )
         self.addCleanup(process.kill)
-        # Opens once the process waits for the content.
+        # Blocks until the process opens the FIFO to read its settings.
         with settings.open("w") as out:
             process.send_signal(signal.SIGHUP)
             out.write("no settings")
-        _, errors = process.communicate(timeout=_WAIT_S)
+        _, errors = process.communicate(timeout=_TIMEOUT_S)
         self.assertEqual(1, process.returncode)
         self.assertIn(b"TOMLDecodeError", errors)
 
     def test_entries_and_replicas_ignore_it_before_they_load(self) -> None:
         """Guards against SIGHUP's default action while libraries load."""
         for program in ("entry", "replica"):
-            done = subprocess.run(
-                [sys.executable, "-c", _EARLY.format(program=program)],
+            completed = subprocess.run(
+                [
+                    sys.executable,
+                    "-c",
+                    _PRINT_SIGHUP_HANDLING.format(program=program),
+                ],
                 cwd=processes.ROOT,
                 capture_output=True,
                 text=True,
                 check=True,
             )
-            self.assertEqual("[] True", done.stdout.splitlines()[-1])
+            self.assertEqual("[] True", completed.stdout.splitlines()[-1])
 
 
-class _Process:
-    """A process that only notes the seeds it is given."""
+class _RecordingProcess:
+    """A process that only records the seeds that it is given."""
 
     def __init__(self) -> None:
         self.seeds: list[str] = []
 
     async def start(self) -> None:
-        """Begins to serve."""
+        """Does nothing."""
 
     async def stop(self) -> None:
-        """Closes."""
+        """Does nothing."""
 
     def reconfigured(self, seeds: list[str]) -> None:
-        """Takes other seeds."""
+        """Records the new seeds."""
         self.seeds = seeds
 
 
@@ -192,8 +197,8 @@
     """Settings that change while a process starts."""
 
     def test_seeds_that_changed_during_the_start_are_taken(self) -> None:
-        """Guards against seeds that are read anew but never handed over."""
-        process = _Process()
+        """Guards against seeds that are reloaded but not applied."""
+        process = _RecordingProcess()
         reload = running.Reload(process, ["127.0.0.1:1"], lambda: _NEW_SEEDS)
         reload.now()
         self.assertEqual(_NEW_SEEDS, process.seeds)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the code base that a reader relies on."""
+"""Rules that hold for the whole source tree."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     "pathlib", "sanic", "select", "signal", "socket", "subprocess", "sys",
     "tempfile", "threading", "time", "uuid", "uvloop",
 }  # fmt: skip
-_CORE = processes.ROOT / "catkinpin" / "core"
-_TEST_ID = re.compile(r"`(tests/[a-z_/]+\.py)(?:::(\w+))?(?:::(\w+))?`")
+_CORE_FOLDER = processes.ROOT / "catkinpin" / "core"
+_TEST_REFERENCE = re.compile(r"`(tests/[a-z_/]+\.py)(?:::(\w+))?(?:::(\w+))?`")
 
 
-def _imported(path: pathlib.Path) -> set[str]:
+def _imported_packages(path: pathlib.Path) -> set[str]:
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -32,13 +32,15 @@
 
 
 class RulesTest(base.TestCase):
-    """What review would have to look for by hand."""
+    """Rules of imports, waits, settings and pages that a review would check."""
 
     def test_core_imports_nothing_that_performs_io(self) -> None:
         for path in sorted(
             (processes.ROOT / "catkinpin" / "core").rglob("*.py")
         ):
-            self.assertEqual(set(), _imported(path) & _IO_MODULES, path.name)
+            self.assertEqual(
+                set(), _imported_packages(path) & _IO_MODULES, path.name
+            )
 
     def test_core_imports_no_adapter(self) -> None:
         for path in sorted(
@@ -47,11 +49,12 @@
             self.assertNotIn("catkinpin.adapters", path.read_text(), path.name)
 
     def test_no_wait_swallows_a_cancellation(self) -> None:
-        """`asyncio.wait_for` of Python 3.11 can lose a cancellation.
+        """Guards against `asyncio.wait_for`, which can lose a cancellation.
 
-        It does where what it waits for ends in the same turn of the loop. A
-        process that stops then waits for ever for a part that goes on, and a
-        request whose caller has left is sent all the same.
+        In Python 3.11 that happens if the awaited future completes in the same
+        iteration of the event loop. A stopping process then waits forever for
+        a task that keeps running, and a request whose caller has disconnected
+        is sent anyway.
         """
         for path in sorted((processes.ROOT / "catkinpin").rglob("*.py")):
             self.assertNotIn("wait_for(", path.read_text(), path.name)
@@ -66,9 +69,9 @@
                 self.assertTrue(field.description, f"{kind.__name__}.{name}")
 
     def test_proofs_name_tests_that_exist(self) -> None:
-        """A page that names a test which is gone would prove nothing."""
+        """Guards against pages that cite a test that no longer exists."""
         for page in (processes.ROOT / "docs").glob("*.md"):
-            for path, *names in _TEST_ID.findall(page.read_text()):
+            for path, *names in _TEST_REFERENCE.findall(page.read_text()):
                 text = (processes.ROOT / path).read_text()
                 for name in filter(None, names):
                     self.assertRegex(text, rf"(class|def) {name}\b")
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""What a restart was made up of, from logs alone."""
+"""Restarts and their steps, found in decision lines."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def _line(at_ms: int, process: str, decision: str, **fields: Any) -> str:
-    told = {"at_ms": at_ms, "process": process, "decision": decision, **fields}
-    return json.dumps(told)
+    entry = {"at_ms": at_ms, "process": process, "decision": decision, **fields}
+    return json.dumps(entry)
 
 
-_LOG = [
+_LOG_LINES = [
     _line(1_000, "gateway-1", "start"),
     _line(1_300, "keeper-1", "start"),
     _line(1_500, "keeper-1", "leadership", leading=True),
@@ -36,14 +36,17 @@
 
 
 class TimelineTest(base.TestCase):
-    """A system starts, loses power, and is back."""
+    """A system starts, loses power and starts again."""
 
     def _restarts(self) -> list[timeline.Restart]:
-        lines = [ln for text in _LOG if (ln := joined.parse(text))]
+        lines = [ln for text in _LOG_LINES if (ln := joined.parse(text))]
         return timeline.find_restarts(list(reversed(lines)))
 
     def test_steps_of_a_blackout_come_in_order(self) -> None:
-        """Everything was dark for two seconds, programs lost three."""
+        """All processes were down for two seconds; programs lost three.
+
+        Guards against steps that are missing or in the wrong order.
+        """
         first, blackout = self._restarts()
         self.assertEqual(["gateway-1", "keeper-1"], blackout.processes)
         self.assertEqual("started", first.steps[0].name)
@@ -63,8 +66,8 @@
 
     def test_command_shows_times_from_the_last_word_before(self) -> None:
         log = self.folder / "all.out"
-        log.write_text("\n".join(_LOG))
-        done = subprocess.run(
+        log.write_text("\n".join(_LOG_LINES))
+        completed = subprocess.run(
             [sys.executable, "-m", "catkinpin", "timeline", str(log)],
             cwd=processes.ROOT,
             capture_output=True,
@@ -72,6 +75,6 @@
             timeout=60,
             check=False,
         )
-        self.assertEqual(0, done.returncode, done.stderr)
-        self.assertIn("+3000 ms first turn served: gateway-1", done.stdout)
-        self.assertIn("last of 2 +2300 ms keeper-1", done.stdout)
+        self.assertEqual(0, completed.returncode, completed.stderr)
+        self.assertIn("+3000 ms first turn served: gateway-1", completed.stdout)
+        self.assertIn("last of 2 +2300 ms keeper-1", completed.stdout)
