--- a/catkinpin/commands/apply.py
+++ b/catkinpin/commands/apply.py
@@ -107,7 +107,7 @@
     Returns:
         The exit code of the command.
     """
-    end = time.monotonic() + wait_ms / 1000
+    deadline_s = time.monotonic() + wait_ms / 1000
     while True:
         reply = await http.get(f"in-force?revision={revision}")
         if reply.exit_code:
@@ -117,7 +117,7 @@
         if not lacking:
             client.show(reply, as_json, lambda _: "in force everywhere")
             return client.EXIT_OK
-        if time.monotonic() > end:
+        if time.monotonic() > deadline_s:
             client.show(reply, as_json, _format_lacking)
             return client.EXIT_NOT_IN_FORCE
         if not as_json:
@@ -126,9 +126,9 @@
 
 
 def _format_lacking(body: Any) -> str:
-    names = [
+    process_texts = [
         f"{process['process']} (at revision {process['revision']}, may serve"
         f" {process['lease_left_ms']} ms more)"
         for process in body["lacking"]
     ]
-    return f"not yet confirmed by: {', '.join(names)}"
+    return f"not yet confirmed by: {', '.join(process_texts)}"
--- a/catkinpin/commands/repair.py
+++ b/catkinpin/commands/repair.py
@@ -39,7 +39,7 @@
 async def _request_repair(cfg: OperatorSettings, url: str) -> int:
     headers = {"Authorization": f"Bearer {cfg.operator_key}"}
     loop = asyncio.get_running_loop()
-    deadline = loop.time() + cfg.timeout_ms / 1000
+    deadline_s = loop.time() + cfg.timeout_ms / 1000
     timeout = aiohttp.ClientTimeout(total=cfg.timeout_ms / 1000)
     async with aiohttp.ClientSession(timeout=timeout) as http:
         async with http.post(url, headers=headers) as resp:
@@ -52,7 +52,7 @@
             if state["state"] == "safe":
                 print(f"safe: votes in all {state['groups']} groups")
                 return 0
-            if loop.time() > deadline:
+            if loop.time() > deadline_s:
                 print(_format_not_safe(state))
                 return _EXIT_NOT_SAFE
             await asyncio.sleep(_POLL_INTERVAL_S)
--- a/catkinpin/commands/status.py
+++ b/catkinpin/commands/status.py
@@ -66,8 +66,8 @@
 
 
 def _format_status(body: Any) -> str:
-    who = body["operator"] or "an operator"
-    parts = [f"revision {body['revision']} by {who}"]
+    operator = body["operator"] or "an operator"
+    parts = [f"revision {body['revision']} by {operator}"]
     parts.append(
         client.columns(
             ("process", "role", "failure domain", "revision", "lease ms"),
--- a/catkinpin/commands/timeline.py
+++ b/catkinpin/commands/timeline.py
@@ -39,7 +39,7 @@
 
 def _format_step(step: Step, begin_ms: int) -> str:
     first = f"{step.first.at_ms - begin_ms:+7d} ms {step.name}"
-    if step.processes == 1:
+    if step.process_count == 1:
         return f"{first}: {step.first.process}"
     last = f"{step.last.at_ms - begin_ms:+d} ms {step.last.process}"
-    return f"{first}: {step.first.process}, last of {step.processes} {last}"
+    return f"{first}: {step.first.process}, last of {step.process_count} {last}"
--- a/catkinpin/process.py
+++ b/catkinpin/process.py
@@ -42,12 +42,12 @@
         """
 
 
-def run(cfg: ProcessSettings, make: Callable[[], Stoppable]) -> None:
+def run(cfg: ProcessSettings, create_process: Callable[[], Stoppable]) -> None:
     """Serves until SIGTERM or SIGINT, then stops gracefully and exits."""
     logs.set_up(cfg.log_level, cfg.name)
     tracing.set_up(cfg.trace_file, cfg.name)
     try:
-        uvloop.run(_serve(make))
+        uvloop.run(_serve(create_process))
     except StopTimeoutError as exc:
         log.error("%s", exc)
         sys.exit(EXIT_STOP_TIMEOUT)
@@ -56,7 +56,7 @@
         sys.exit(EXIT_STORAGE_ERROR)
 
 
-async def _serve(make: Callable[[], Stoppable]) -> None:
+async def _serve(create_process: Callable[[], Stoppable]) -> None:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
 
@@ -70,7 +70,7 @@
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, handle_stop_signal)
     loop.add_signal_handler(signal.SIGHUP, _log_ignored_reload)
-    process = make()
+    process = create_process()
     try:
         await process.start()
         await stop.wait()
--- a/catkinpin/timeline.py
+++ b/catkinpin/timeline.py
@@ -30,13 +30,13 @@
         name: what the step is.
         first: line of the process that took the step first.
         last: line of the process that took the step last.
-        processes: number of processes that took the step.
+        process_count: number of processes that took the step.
     """
 
     name: str
     first: DecisionLine
     last: DecisionLine
-    processes: int
+    process_count: int
 
 
 @dataclasses.dataclass(frozen=True)
