--- a/catkinpin/adapters/keeper/asks.py
+++ b/catkinpin/adapters/keeper/asks.py
@@ -107,7 +107,7 @@
                 case protocol.CopyTurns():
                     await self._turn_server.copy_turns(stream, message)
         except StorageError as exc:
-            exits.stop_at_once(exc)
+            exits.exit_immediately(exc)
 
     def _publish_unresponsive(self) -> None:
         """Publishes the unresponsive servers when they change.
--- a/catkinpin/adapters/keeper/host.py
+++ b/catkinpin/adapters/keeper/host.py
@@ -144,7 +144,7 @@
         if leading:
             self.quotas.count_expected(self.log_time_ms())
         else:
-            metrics.QUOTA_USED.clear()
+            metrics.QUOTA_USED_SHARE.clear()
             self._fail_pending("another leads")
 
     def snapshot(self) -> bytes:
@@ -208,9 +208,9 @@
     def _update_quota_metrics(self) -> None:
         uses = self.quotas.uses()
         metrics.QUOTA_ACCOUNTS.set(len(uses))
-        metrics.QUOTA_USED.clear()
+        metrics.QUOTA_USED_SHARE.clear()
         for use in uses[:_MAX_EXPOSED_ACCOUNTS]:
-            metrics.QUOTA_USED.labels(use.account).set(use.used_share)
+            metrics.QUOTA_USED_SHARE.labels(use.account).set(use.used_share)
 
     def log_time_ms(self) -> int:
         """Returns the time of the log, in ms.
--- a/catkinpin/adapters/keeper/process.py
+++ b/catkinpin/adapters/keeper/process.py
@@ -94,7 +94,7 @@
         self.node = node.Node(
             _node_config(cfg),
             self._handle_leader_change,
-            exits.stop_at_once,
+            exits.exit_immediately,
             on_slow_disk=_note_slow_disk,
             on_disk_full_changed=_note_full_disk,
         )
@@ -111,7 +111,7 @@
         self._http = HttpServer(control(self))
         self._tasks = BackgroundTasks()
         self._turn_server = TurnServer(
-            self.turn_bytes, self.other_hosts, exits.stop_at_once
+            self.turn_bytes, self.other_hosts, exits.exit_immediately
         )
         self._publisher = publisher.Publisher(
             cfg, self.node, self.host, self._peer_server
@@ -395,5 +395,5 @@
         AutoJoin(tuple(cfg.seeds), cfg.first_start),
         segment_bytes=_SEGMENT_BYTES,
         timing=_TIMING,
-        process_begun_ms=clock.process_begun_ms(),
+        process_begun_ms=clock.process_start_ms(),
     )
--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -125,7 +125,7 @@
         Otherwise a leader whose host was suspended would still trust a lease
         that expired in the meantime.
         """
-        return clock.elapsed_ms()
+        return clock.since_boot_ms()
 
     @property
     def is_disk_full(self) -> bool:
