--- a/catkinpin/adapters/gateway/answers.py
+++ b/catkinpin/adapters/gateway/answers.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from catkinpin.adapters.gateway.headers import HeaderCodec
-    from catkinpin.adapters.gateway.view import View
+    from catkinpin.adapters.gateway.view import ClusterView
     from catkinpin.adapters.gateway.work import Work
     from catkinpin.adapters.http.client import Head
     from catkinpin.adapters.http.server import Responder
@@ -32,14 +32,16 @@
         clock: time.
     """
 
-    def __init__(self, view: View, codec: HeaderCodec, clock: Clock) -> None:
+    def __init__(
+        self, view: ClusterView, codec: HeaderCodec, clock: Clock
+    ) -> None:
         self._view = view
         self._codec = codec
         self._clock = clock
 
     def start(self, work: Work, head: Head, length: int | None) -> bool:
         """Starts the answer with a server's head, where that can be passed."""
-        facts = self._codec.answer(head.headers)
+        facts = self._codec.decode_answer(head.headers)
         if head.status < 300 and not facts.is_sealed:
             work.reason = "an answer that the server doesn't vouch for"
             return False
@@ -83,7 +85,7 @@
             reason: why, for the log.
             retry_s: when to come back; 0: not said.
         """
-        headers = self._codec.refusal(call.attempt, retry_s)
+        headers = self._codec.encode_refusal(call.attempt, retry_s)
         responder.answer(status, headers)
         metrics.REFUSALS.labels(str(status)).inc()
         decisions.note(
--- a/catkinpin/adapters/gateway/context.py
+++ b/catkinpin/adapters/gateway/context.py
@@ -10,8 +10,8 @@
 
     from catkinpin.adapters.gateway.headers import HeaderCodec
     from catkinpin.adapters.gateway.turns import Turns
-    from catkinpin.adapters.gateway.usage import Usage
-    from catkinpin.adapters.gateway.view import View
+    from catkinpin.adapters.gateway.usage import UsageReporter
+    from catkinpin.adapters.gateway.view import ClusterView
     from catkinpin.adapters.http.client import Pool
     from catkinpin.clock import Clock
     from catkinpin.core.placement.balance import Balancer
@@ -37,14 +37,14 @@
         domain: failure domain of this gateway.
     """
 
-    view: View
+    view: ClusterView
     balancer: Balancer
     speeds: Speeds
     pool: Pool
     turns: Turns
     codec: HeaderCodec
     clock: Clock
-    usage: Usage
+    usage: UsageReporter
     waiting: WaitingCalls
     gateways: Callable[[], int]
     domain: str = ""
--- a/catkinpin/adapters/gateway/exchange.py
+++ b/catkinpin/adapters/gateway/exchange.py
@@ -12,7 +12,7 @@
 
 from catkinpin import decisions, metrics
 from catkinpin.adapters.gateway.crashes import Crashes
-from catkinpin.adapters.gateway.headers import Sending
+from catkinpin.adapters.gateway.headers import ForwardingFields
 from catkinpin.adapters.gateway.timings import Times
 from catkinpin.adapters.http.client import ANY_IDLE_S, Failure
 from catkinpin.core.control.servers import ServerState
@@ -149,7 +149,7 @@
 
     def not_run(self, head: Head) -> bool:
         """Returns whether a server says that it did not run the request."""
-        return self._codec.answer(head.headers).not_run
+        return self._codec.decode_answer(head.headers).not_run
 
     def end(self, choice: Choice, conn: ServerConnection) -> None:
         """Ends an exchange; one that is not over is cut off."""
@@ -225,7 +225,7 @@
         return True
 
     def _record_head(self, work: Work, choice: Choice, head: Head) -> None:
-        facts = self._codec.answer(head.headers)
+        facts = self._codec.decode_answer(head.headers)
         load = self._record_load(work, choice, facts.load)
         work.times.head(asyncio.get_running_loop().time(), load)
         if facts.not_run:
@@ -269,7 +269,7 @@
     def _is_ours(
         self, work: Work, conn: ServerConnection, headers: Headers
     ) -> bool:
-        facts = self._codec.answer(headers)
+        facts = self._codec.decode_answer(headers)
         if facts.attempt:
             return facts.attempt == work.call.attempt
         return facts.not_run and conn.is_fresh
@@ -277,14 +277,14 @@
     def _encode(
         self, work: Work, choice: Choice, body: bytes, resume_at: str
     ) -> bytes:
-        sending = Sending(
+        sending = ForwardingFields(
             server=choice.instance.id,
             left_ms=max(1, int(work.left_s * _MS)),
             resume_at=resume_at,
             urgency=work.urgency,
-            hides_key=self._view.asks_for_keys,
+            strips_key=self._view.asks_for_keys,
         )
-        headers = self._codec.to_server(
+        headers = self._codec.encode_for_server(
             work.request.headers.end_to_end(), work.call, sending
         )
         request = work.request
--- a/catkinpin/adapters/gateway/headers.py
+++ b/catkinpin/adapters/gateway/headers.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Sending:
+class ForwardingFields:
     """What a gateway sends to a server besides the caller's headers.
 
     Attributes:
@@ -21,14 +21,14 @@
         left_ms: how long the answer is waited for.
         resume_at: last event that the caller has; empty: from the start.
         urgency: 0 is the most urgent, 9 the least.
-        hides_key: whether the caller's API key is taken off.
+        strips_key: whether the caller's API key is taken off.
     """
 
     server: str
     left_ms: int
     resume_at: str = ""
     urgency: int = 5
-    hides_key: bool = False
+    strips_key: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,14 +36,14 @@
     """Translates headers.
 
     Attributes:
-        call: decodes a caller's request.
-        to_server: returns the fields that a server gets.
-        answer: decodes a server's answer.
-        refusal: returns the fields of an answer of our own, from the request's
-            id and after how many seconds to come back; 0: not said.
+        decode_request: decodes a caller's request.
+        encode_for_server: returns the fields that a server gets.
+        decode_answer: decodes a server's answer.
+        encode_refusal: returns the fields of an answer of our own, from the
+            request's id and after how many seconds to come back; 0: not said.
     """
 
-    call: Callable[[Headers], RouteCall]
-    to_server: Callable[[Headers, RouteCall, Sending], Headers]
-    answer: Callable[[Headers], AnswerFacts]
-    refusal: Callable[[str, float], Headers]
+    decode_request: Callable[[Headers], RouteCall]
+    encode_for_server: Callable[[Headers, RouteCall, ForwardingFields], Headers]
+    decode_answer: Callable[[Headers], AnswerFacts]
+    encode_refusal: Callable[[str, float], Headers]
--- a/catkinpin/adapters/gateway/process.py
+++ b/catkinpin/adapters/gateway/process.py
@@ -13,8 +13,8 @@
 from catkinpin.adapters.gateway.routefetch import RouteFetch
 from catkinpin.adapters.gateway.serving import Serving
 from catkinpin.adapters.gateway.turns import Turns
-from catkinpin.adapters.gateway.usage import Usage
-from catkinpin.adapters.gateway.view import View
+from catkinpin.adapters.gateway.usage import UsageReporter
+from catkinpin.adapters.gateway.view import ClusterView
 from catkinpin.adapters.http.client import Pool
 from catkinpin.adapters.http.server import HttpServer, ServerLimits
 from catkinpin.adapters.keeper.publisher import GATEWAY_ROLE
@@ -67,7 +67,7 @@
         self._balancer = Balancer(
             cfg.failure_domain, regions, random.Random(), speeds
         )
-        self.view = View(self.clock, self._server_gone)
+        self.view = ClusterView(self.clock, self._server_gone)
         self.keepers = keepers.Keepers(
             _hello(cfg),
             self._on_keeper_message,
@@ -103,8 +103,8 @@
         self._routes = RouteFetch(self.keepers, self.view, cfg.region)
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _new_usage(self) -> Usage:
-        return Usage(
+    def _new_usage(self) -> UsageReporter:
+        return UsageReporter(
             self.keepers,
             self.clock,
             self._count_gateways,
--- a/catkinpin/adapters/gateway/routefetch.py
+++ b/catkinpin/adapters/gateway/routefetch.py
@@ -10,7 +10,7 @@
 from catkinpin.exceptions import PeerLostError
 
 if TYPE_CHECKING:
-    from catkinpin.adapters.gateway.view import View
+    from catkinpin.adapters.gateway.view import ClusterView
     from catkinpin.adapters.peers.keepers import Host, Keepers
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,9 @@
         region: where this gateway stands.
     """
 
-    def __init__(self, keepers: Keepers, view: View, region: str) -> None:
+    def __init__(
+        self, keepers: Keepers, view: ClusterView, region: str
+    ) -> None:
         self._keepers = keepers
         self._view = view
         self._region = region
--- a/catkinpin/adapters/gateway/serving.py
+++ b/catkinpin/adapters/gateway/serving.py
@@ -68,7 +68,7 @@
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Answers one request."""
-        call = self._codec.call(request.headers)
+        call = self._codec.decode_request(request.headers)
         serving = asyncio.ensure_future(self._serve(request, responder, call))
         leaving = asyncio.ensure_future(request.gone.wait())
         await asyncio.wait(
@@ -156,7 +156,7 @@
             if not await wait_for_room(retry_ms, until_s):
                 self._answers.over_quota(work.responder, work.call, retry_ms)
                 return False
-        self._usage.note(account, in_program=in_program)
+        self._usage.record(account, in_program=in_program)
         return True
 
     def _ends_before(
--- a/catkinpin/adapters/gateway/streaming.py
+++ b/catkinpin/adapters/gateway/streaming.py
@@ -9,7 +9,7 @@
 
 from catkinpin.adapters.gateway.turns import (
     OverQuota,
-    Started,
+    StartedTurn,
     TurnResult,
     Unknown,
 )
@@ -100,7 +100,7 @@
 
     async def _turn(self, work: Work) -> None:
         began = await self._begin(work)
-        if not isinstance(began, Started):
+        if not isinstance(began, StartedTurn):
             self._deny(work, began)
             return
         work.urgency = urgency.of_turn(began.program_status)
@@ -116,7 +116,7 @@
 
     async def _begin(
         self, work: Work
-    ) -> Started | Denial | OverQuota | Unknown:
+    ) -> StartedTurn | Denial | OverQuota | Unknown:
         """Begins a turn, and waits for its quota where that is soon."""
         until_s = work.quota_until_s
         while True:
--- a/catkinpin/adapters/gateway/turns.py
+++ b/catkinpin/adapters/gateway/turns.py
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Started:
+class StartedTurn:
     """A turn that may begin.
 
     Attributes:
@@ -163,7 +163,7 @@
         route: Route,
         wait_s: float,
         place: PlaceTurn | None = None,
-    ) -> Started | Denial | OverQuota | Unknown:
+    ) -> StartedTurn | Denial | OverQuota | Unknown:
         """Reserves for a turn, has it placed, fetches what came before it."""
         begin = Begin(
             attempt=call.attempt,
@@ -195,7 +195,7 @@
         if history is None:
             self.settle(call, TurnResult())
             return Unknown("the history can't be read now")
-        return Started(
+        return StartedTurn(
             history, began.program_status, began.server, began.placed
         )
 
--- a/catkinpin/adapters/gateway/usage.py
+++ b/catkinpin/adapters/gateway/usage.py
@@ -24,7 +24,7 @@
     from catkinpin.core.control.accounts import ClientAccount
 
 _MS = 1_000
-REPORT_S = 0.2
+REPORT_INTERVAL_S = 0.2
 _ASK_S = 1.0
 # Without a leader for longer, single requests get this gateway's share.
 _OUTAGE_MS = 1_000
@@ -40,7 +40,7 @@
     return True
 
 
-class Usage:
+class UsageReporter:
     """Reports plain requests, and knows which accounts get none served.
 
     Args:
@@ -78,7 +78,7 @@
                 return _RETRY_OUTAGE_MS
         return max(0, until_ms - now_ms)
 
-    def note(self, account: ClientAccount, *, in_program: bool) -> None:
+    def record(self, account: ClientAccount, *, in_program: bool) -> None:
         """Counts a request that is passed on."""
         if not account.quota.is_limited:
             return
@@ -92,7 +92,7 @@
     async def run(self) -> None:
         """Reports for as long as the gateway runs."""
         while True:
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             unresponsive = sorted(self._unresponsive())
             if self._pending or self._over or self._spent or unresponsive:
                 await self._report(unresponsive)
--- a/catkinpin/adapters/gateway/view.py
+++ b/catkinpin/adapters/gateway/view.py
@@ -24,7 +24,7 @@
 _STARTING_MS = 3_000
 
 
-class View:
+class ClusterView:
     """Routes and servers.
 
     Several keepers tell the same, some later than others. Versions, births
--- a/catkinpin/adapters/keeper/repair.py
+++ b/catkinpin/adapters/keeper/repair.py
@@ -12,7 +12,7 @@
 
 from catkinpin import decisions
 from catkinpin.adapters.keeper.host import NotLeading
-from catkinpin.adapters.store.turnserver import COPY_S
+from catkinpin.adapters.store.turnserver import COPY_TIMEOUT_S
 from catkinpin.core.control import copies, protocol
 from catkinpin.core.control.ledger import Moved
 from catkinpin.core.control.stores import Register, Retire
@@ -210,7 +210,9 @@
             return False
         try:
             reply = await self._others.ask(
-                target, lambda ask: structs.replace(copy_turns, ask=ask), COPY_S
+                target,
+                lambda ask: structs.replace(copy_turns, ask=ask),
+                COPY_TIMEOUT_S,
             )
         except PeerLostError as exc:
             log.info("copy failed: %s", exc)
--- a/catkinpin/adapters/store/turnserver.py
+++ b/catkinpin/adapters/store/turnserver.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 # A copy of a batch of turns over the link between regions.
-COPY_S = 3.0
+COPY_TIMEOUT_S = 3.0
 
 
 class Reply(Protocol):
@@ -94,7 +94,7 @@
             got = await self._others.ask(
                 host,
                 lambda ask: protocol.Get(ask=ask, attempts=attempts),
-                COPY_S,
+                COPY_TIMEOUT_S,
             )
             for attempt, part in zip(attempts, got.parts, strict=True):
                 if part is None:
--- a/tests/fakes/gatewaycase.py
+++ b/tests/fakes/gatewaycase.py
@@ -16,7 +16,7 @@
 class GatewayCase(testtools.TestCase):
     """Runs a play within a bounded time."""
 
-    def play(self, work: Coroutine[Any, Any, None]) -> None:
+    def run_within_limit(self, work: Coroutine[Any, Any, None]) -> None:
         async def bounded() -> None:
             await asyncio.wait_for(work, WAIT_S)
 
--- a/tests/fakes/gatewayrig.py
+++ b/tests/fakes/gatewayrig.py
@@ -11,16 +11,16 @@
 
 from catkinpin import clock
 from catkinpin.adapters.gateway.context import Parts
-from catkinpin.adapters.gateway.headers import HeaderCodec, Sending
+from catkinpin.adapters.gateway.headers import ForwardingFields, HeaderCodec
 from catkinpin.adapters.gateway.serving import Serving
 from catkinpin.adapters.gateway.turns import (
     OverQuota,
-    Started,
+    StartedTurn,
     TurnResult,
     Unknown,
 )
-from catkinpin.adapters.gateway.usage import Usage
-from catkinpin.adapters.gateway.view import View
+from catkinpin.adapters.gateway.usage import UsageReporter
+from catkinpin.adapters.gateway.view import ClusterView
 from catkinpin.adapters.http.client import Pool
 from catkinpin.adapters.http.headers import Headers
 from catkinpin.adapters.http.server import HttpServer
@@ -65,9 +65,11 @@
     )
 
 
-def _to_server(headers: Headers, call: RouteCall, sending: Sending) -> Headers:
+def _to_server(
+    headers: Headers, call: RouteCall, sending: ForwardingFields
+) -> Headers:
     hidden = {b"deadline", b"account"}
-    if sending.hides_key:
+    if sending.strips_key:
         hidden.add(b"key")
     out = headers.end_to_end(frozenset(hidden))
     if call.account:
@@ -113,25 +115,27 @@
     """Stands in for the keepers: what it is asked and what it answers."""
 
     def __init__(self) -> None:
-        self.begin_with: Started | Denial | OverQuota | Unknown = Started(
-            b"", ProgramStatus(), ""
+        self.begin_result: StartedTurn | Denial | OverQuota | Unknown = (
+            StartedTurn(b"", ProgramStatus(), "")
         )
-        self.finish_with = ""
+        self.finish_result = ""
         self.finished: list[bytes] = []
         self.settled: list[int] = []
         self.crashes: list[tuple[str, str]] = []
         self.finishing = asyncio.Event()
         self.finishing.set()
 
-    async def begin(self, *_: object) -> Started | Denial | OverQuota | Unknown:
-        return self.begin_with
+    async def begin(
+        self, *_: object
+    ) -> StartedTurn | Denial | OverQuota | Unknown:
+        return self.begin_result
 
     async def finish(
         self, call: RouteCall, data: bytes, ran: TurnResult
     ) -> str:
         self.finished.append(data)
         await self.finishing.wait()
-        return self.finish_with
+        return self.finish_result
 
     def settle(self, call: RouteCall, ran: TurnResult) -> None:
         self.settled.append(ran.tokens)
@@ -141,7 +145,7 @@
 
 
 @dataclasses.dataclass
-class Answered:
+class CallerResponse:
     """What a caller got; `whole` is False where the answer broke off."""
 
     status: int
@@ -166,7 +170,7 @@
         self.turns = Turns()
         self.servers: list[RawServer] = []
         self.clock = ShiftedClock()
-        self.view = View(self.clock.clock(), lambda _: None)
+        self.view = ClusterView(self.clock.clock(), lambda _: None)
         told = {
             "name": "r",
             "host": "h",
@@ -199,11 +203,11 @@
         )
         self._routing = routing
         if knows_routes:
-            self.learn_routes()
+            self.publish_routes()
         codec = HeaderCodec(_call, _to_server, _answer, _refusal)
         self.speeds = Speeds()
         self.balancer = Balancer("a", {"a": "r"}, random.Random(1), self.speeds)
-        self.usage = Usage(
+        self.usage = UsageReporter(
             cast("Any", None), self.clock.clock(), lambda: 1, set
         )
         self.serving = Serving(
@@ -223,12 +227,12 @@
         self.http = HttpServer(self.serving.handle)
         self.address = ""
 
-    def learn_routes(self) -> None:
+    def publish_routes(self) -> None:
         """Tells the gateway its routes, as the newest."""
         self.view.replace(self._routing)
         self.view.handle(protocol.RoutingUpdate(version=1, is_current=True))
 
-    def learn_accounts(self, accounts: list[ClientAccount]) -> None:
+    def publish_accounts(self, accounts: list[ClientAccount]) -> None:
         """Tells the gateway other accounts, as the newest."""
         version = self._routing.version + 1
         self._routing = structs.replace(
@@ -252,13 +256,13 @@
         for server in self.servers:
             await server.stop()
 
-    def runs(self) -> int:
+    def count_server_requests(self) -> int:
         """Returns how many requests reached a server."""
         return sum(len(server.seen) for server in self.servers)
 
     async def ask(
         self, name: str = "q1", body: bytes = b"in", **headers: str
-    ) -> Answered:
+    ) -> CallerResponse:
         """Sends a request as a caller does."""
         loop = asyncio.get_running_loop()
         start = loop.time()
@@ -278,10 +282,10 @@
         return _parsed(data, whole, loop.time() - start)
 
 
-def _parsed(data: bytes, whole: bool, took_s: float) -> Answered:
+def _parsed(data: bytes, whole: bool, took_s: float) -> CallerResponse:
     head, _, body = data.partition(b"\r\n\r\n")
     if not head:
-        return Answered(0, {}, b"", False, took_s)
+        return CallerResponse(0, {}, b"", False, took_s)
     first, *lines = head.decode().split("\r\n")
     headers = {}
     for line in lines:
@@ -290,7 +294,7 @@
     if headers.get("transfer-encoding") == "chunked":
         body, ended = _unchunk(body)
         whole = whole and ended
-    return Answered(int(first.split()[1]), headers, body, whole, took_s)
+    return CallerResponse(int(first.split()[1]), headers, body, whole, took_s)
 
 
 def _unchunk(data: bytes) -> tuple[bytes, bool]:
@@ -305,35 +309,35 @@
     return out, False
 
 
-async def good(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def answer_ok(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """Answers as it should."""
     writer.write(sealed(seen, b"fine"))
 
 
-async def full(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def refuse_full(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """Refuses, as not run."""
     status = "503 Service Unavailable"
     writer.write(sealed(seen, b"", status, Not_Run="1"))
 
 
-async def dies(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def abort_connection(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """Breaks the connection off."""
     writer.transport.abort()
 
 
-async def mute(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """Never answers."""
     await asyncio.sleep(WAIT_S)
 
 
-def events(first: int, last: int) -> bytes:
+def encode_events(first: int, last: int) -> bytes:
     """Returns the events of these numbers."""
     return b"".join(
         b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(first, last + 1)
     )
 
 
-def stream(seen: Seen, *parts: bytes, end: bool = True) -> bytes:
+def encode_stream(seen: Seen, *parts: bytes, end: bool = True) -> bytes:
     """Returns an answer of such parts, without its end where `end` is not."""
     name = seen.headers["request-id"]
     head = (
@@ -344,6 +348,6 @@
     return head + chunks + (b"0\r\n\r\n" if end else b"")
 
 
-async def streams(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def stream_events(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """Streams three events and ends."""
-    writer.write(stream(seen, events(1, 3)))
+    writer.write(encode_stream(seen, encode_events(1, 3)))
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from catkinpin.adapters.gateway.turns import OverQuota, Started
+from catkinpin.adapters.gateway.turns import OverQuota, StartedTurn
 from catkinpin.core.control import accounts, protocol, routes
 from catkinpin.core.control.accounts import (
     AccountTable,
@@ -15,7 +15,7 @@
 from catkinpin.core.placement.urgency import ProgramStatus
 from tests import base
 from tests.fakes.gatewaycase import GatewayCase
-from tests.fakes.gatewayrig import Rig, good, streams
+from tests.fakes.gatewayrig import Rig, answer_ok, stream_events
 
 _KEY = "k-1"
 
@@ -106,7 +106,7 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.IDEMPOTENT, accounts=[_account("a", _KEY)])
-            await rig.start(good)
+            await rig.start(answer_ok)
             got = await rig.ask(Key=_KEY, Account="forged")
             self.assertEqual(200, got.status)
             seen = rig.servers[0].seen[0]
@@ -114,37 +114,37 @@
             self.assertEqual("a", seen.headers["account"])
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_unknown_key_is_refused_at_once(self) -> None:
         """Guards against requests that run without an account."""
 
         async def work() -> None:
             rig = Rig(RouteKind.IDEMPOTENT, accounts=[_account("a", _KEY)])
-            await rig.start(good)
+            await rig.start(answer_ok)
             statuses = [
                 (await rig.ask("q1", Key="k-2")).status,
                 (await rig.ask("q2")).status,
             ]
             self.assertEqual([401, 401], statuses)
-            self.assertEqual(0, rig.runs())
+            self.assertEqual(0, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_key_that_may_just_be_added_is_not_refused_for_good(self) -> None:
         """Guards against 401 from a gateway without the latest document."""
 
         async def work() -> None:
             rig = Rig(RouteKind.IDEMPOTENT, accounts=[_account("a", _KEY)])
-            await rig.start(good)
+            await rig.start(answer_ok)
             rig.view.handle(protocol.RoutingUpdate(version=2, is_current=True))
             got = await rig.ask(Key="k-2")
             self.assertEqual(503, got.status)
             self.assertIn("retry-after", got.headers)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_open_route_needs_no_key(self) -> None:
         """Guards against 401 on routes that need no key."""
@@ -152,35 +152,35 @@
         async def work() -> None:
             some = [_account("a", _KEY)]
             rig = Rig(RouteKind.IDEMPOTENT, accounts=some, is_open=True)
-            await rig.start(good)
+            await rig.start(answer_ok)
             got = await rig.ask()
             self.assertEqual(200, got.status)
             self.assertNotIn("account", rig.servers[0].seen[0].headers)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_revoked_key_is_refused_on_an_open_connection(self) -> None:
         """Guards against keys that still work after they were revoked."""
 
         async def work() -> None:
             rig = Rig(RouteKind.IDEMPOTENT, accounts=[_account("a", _KEY)])
-            await rig.start(good)
+            await rig.start(answer_ok)
             self.assertEqual(200, (await rig.ask("q1", Key=_KEY)).status)
-            rig.learn_accounts([_account("a", "k-2")])
+            rig.publish_accounts([_account("a", "k-2")])
             self.assertEqual(401, (await rig.ask("q2", Key=_KEY)).status)
             self.assertEqual(200, (await rig.ask("q3", Key="k-2")).status)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
 
 async def _rig_over_quota(retry_ms: int) -> Rig:
     """Returns a gateway whose turns are refused for their quota."""
     some = [_account("a", _KEY)]
     rig = Rig(RouteKind.STREAM, accounts=some, keeps_history=True)
-    rig.turns.begin_with = OverQuota(retry_ms=retry_ms)
-    await rig.start(streams)
+    rig.turns.begin_result = OverQuota(retry_ms=retry_ms)
+    await rig.start(stream_events)
     return rig
 
 
@@ -195,10 +195,10 @@
             got = await rig.ask(Key=_KEY, Program="p")
             self.assertEqual(429, got.status)
             self.assertEqual("0.70", got.headers["retry-after"])
-            self.assertEqual(0, rig.runs())
+            self.assertEqual(0, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_turn_waits_for_room_that_comes_soon(self) -> None:
         """Guards against refusing turns shortly before the quota has room."""
@@ -207,13 +207,13 @@
             rig = await _rig_over_quota(100)
             asking = asyncio.ensure_future(rig.ask(Key=_KEY, Program="p"))
             await asyncio.sleep(0.05)
-            rig.turns.begin_with = Started(b"", ProgramStatus(), "")
+            rig.turns.begin_result = StartedTurn(b"", ProgramStatus(), "")
             got = await asking
             self.assertEqual(200, got.status)
             self.assertLess(got.took_s, 0.3)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_turn_is_not_kept_beyond_its_part_of_time(self) -> None:
         """Guards against turns that wait too long for an exhausted quota."""
@@ -225,4 +225,4 @@
             self.assertLess(got.took_s, 0.4)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -19,10 +19,10 @@
 from tests.fakes.gatewaycase import GatewayCase
 from tests.fakes.gatewayrig import (
     Rig,
-    dies,
-    full,
-    good,
-    mute,
+    abort_connection,
+    answer_ok,
+    never_answer,
+    refuse_full,
 )
 
 
@@ -37,17 +37,17 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, knows_routes=False)
-            await rig.start(good)
+            await rig.start(answer_ok)
             asking = asyncio.ensure_future(rig.ask(Deadline="1000"))
             await asyncio.sleep(0.15)
             self.assertFalse(asking.done())
-            rig.learn_routes()
+            rig.publish_routes()
             got = await asking
             self.assertEqual(200, got.status)
             self.assertLess(got.took_s, 0.35)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_gateway_that_never_learns_its_routes_refuses_in_time(self) -> None:
         """A gateway comes up cut off from all keepers.
@@ -58,7 +58,7 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, knows_routes=False)
-            await rig.start(good)
+            await rig.start(answer_ok)
             got = await rig.ask(Deadline="500")
             self.assertEqual(503, got.status)
             self.assertLess(got.took_s, 0.35)
@@ -66,17 +66,17 @@
             got = await rig.ask(Deadline="500")
             self.assertEqual(503, got.status)
             self.assertLess(got.took_s, 0.1)
-            self.assertEqual(0, rig.runs())
+            self.assertEqual(0, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_request_and_answer_pass_unchanged(self) -> None:
         """A tool call on a good day; nothing of it is rewritten."""
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(good)
+            await rig.start(answer_ok)
             got = await rig.ask(body=b"\x00raw", Deadline="900")
             self.assertEqual((200, b"fine"), (got.status, got.body))
             self.assertEqual("yes", got.headers["sealed"])
@@ -87,7 +87,7 @@
             self.assertLessEqual(int(seen.headers["deadline"]), 900)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_non_idempotent_request_is_never_sent_twice(self) -> None:
         """A server breaks off what it may have run: a payment, say.
@@ -97,14 +97,14 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(dies, dies)
+            await rig.start(abort_connection, abort_connection)
             got = await rig.ask()
             self.assertEqual(502, got.status)
             self.assertNotIn("retry-after", got.headers)
-            self.assertEqual(1, rig.runs())
+            self.assertEqual(1, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_refused_request_goes_to_the_next_server(self) -> None:
         """A server is full and says that it ran nothing.
@@ -114,40 +114,40 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(full, full, good)
+            await rig.start(refuse_full, refuse_full, answer_ok)
             got = await rig.ask()
             self.assertEqual((200, b"fine"), (got.status, got.body))
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_all_servers_full_is_refused_at_once_as_not_run(self) -> None:
         """No server has room; the caller is told when to come back."""
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(full, full)
+            await rig.start(refuse_full, refuse_full)
             got = await rig.ask()
             self.assertEqual(503, got.status)
             self.assertIn("retry-after", got.headers)
             self.assertLess(got.took_s, 0.5)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_idempotent_request_is_asked_again_elsewhere(self) -> None:
         """One server dies, or runs the request and its answer is lost."""
 
         async def work() -> None:
-            for bad in (dies, mute):
+            for bad in (abort_connection, never_answer):
                 rig = Rig(RouteKind.IDEMPOTENT)
-                await rig.start(bad, good)
+                await rig.start(bad, answer_ok)
                 for number in range(4):
                     got = await rig.ask(f"q{number}")
                     self.assertEqual((200, b"fine"), (got.status, got.body))
                 await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_no_more_servers_run_a_request_than_its_route_allows(self) -> None:
         """Every server runs the request and breaks off, time after time.
@@ -159,13 +159,18 @@
         async def work() -> None:
             for kind in (RouteKind.IDEMPOTENT, RouteKind.STREAM):
                 rig = Rig(kind, resumable=True, max_attempts=2)
-                await rig.start(dies, dies, dies, dies)
+                await rig.start(
+                    abort_connection,
+                    abort_connection,
+                    abort_connection,
+                    abort_connection,
+                )
                 got = await rig.ask()
                 self.assertEqual(502, got.status)
-                self.assertEqual(2, rig.runs(), kind)
+                self.assertEqual(2, rig.count_server_requests(), kind)
                 await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_answer_without_a_seal_is_no_success(self) -> None:
         """Something answers 200 that is not the server's own answer."""
@@ -180,7 +185,7 @@
             self.assertEqual((502, b""), (got.status, got.body))
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_promise_that_no_server_made_is_not_passed_on(self) -> None:
         """A server ran the request and answers 503 without saying 'not run'.
@@ -199,20 +204,20 @@
             self.assertNotIn("sealed", got.headers)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_silent_server_costs_no_more_than_the_deadline(self) -> None:
         """A server takes a request and never answers."""
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(mute)
+            await rig.start(never_answer)
             got = await rig.ask(Deadline="300")
             self.assertEqual(504, got.status)
             self.assertLess(got.took_s, 0.6)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_stopping_gateway_refuses_what_comes_late(self) -> None:
         """Most hosts of a failure domain stop; the balancer sends on to all.
@@ -222,14 +227,14 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(good)
+            await rig.start(answer_ok)
             rig.serving.ends_s = asyncio.get_running_loop().time() + 1.0
             got = await rig.ask()
             self.assertEqual(503, got.status)
-            self.assertEqual(0, rig.runs())
+            self.assertEqual(0, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_stopping_gateway_serves_what_ends_in_time(self) -> None:
         """A caller's open connection outlives the order to stop by seconds.
@@ -240,14 +245,14 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(good)
+            await rig.start(answer_ok)
             rig.serving.ends_s = asyncio.get_running_loop().time() + 5.0
             got = await rig.ask()
             self.assertEqual(200, got.status)
-            self.assertEqual(1, rig.runs())
+            self.assertEqual(1, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_caller_that_leaves_frees_its_server(self) -> None:
         """A caller goes away; its server would work on for nobody."""
@@ -262,7 +267,7 @@
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(watch)
             asking = asyncio.ensure_future(rig.ask())
-            while not rig.runs():
+            while not rig.count_server_requests():
                 await asyncio.sleep(0.01)
             asking.cancel()
             for connection in list(rig.http.connections):
@@ -270,7 +275,7 @@
             await asyncio.wait_for(closed.wait(), 0.5)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_crash_is_reported_and_quarantined_content_refused(self) -> None:
         """A request crashes whatever server runs it, and comes again.
@@ -293,10 +298,10 @@
             rig.view.handle(protocol.QuarantineUpdate(contents=[content]))
             got = await rig.ask("q2", body=b"poison")
             self.assertEqual(503, got.status)
-            self.assertEqual(1, rig.runs())
+            self.assertEqual(1, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_break_without_a_crash_is_no_strike(self) -> None:
         """A connection is reset, but its server lives on.
@@ -306,10 +311,10 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(dies)
+            await rig.start(abort_connection)
             await rig.ask()
             await asyncio.sleep(0.1)
             self.assertEqual([], rig.turns.crashes)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
--- a/tests/test_placed.py
+++ b/tests/test_placed.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from catkinpin.adapters.gateway.turns import Started
+from catkinpin.adapters.gateway.turns import StartedTurn
 from catkinpin.core.control.routes import RouteKind
 from catkinpin.core.control.servers import ServerState
 from catkinpin.core.placement.urgency import ProgramStatus
 from tests.fakes.gatewaycase import GatewayCase
-from tests.fakes.gatewayrig import Rig, dies, streams
+from tests.fakes.gatewayrig import Rig, abort_connection, stream_events
 
 _TURNS = 8
 
@@ -19,7 +19,7 @@
 async def _rig(*answers: object, placed: str) -> Rig:
     rig = Rig(RouteKind.STREAM, keeps_history=True, max_attempts=2)
     await rig.start(*answers)  # type: ignore[arg-type]
-    rig.turns.begin_with = Started(b"", ProgramStatus(), "", placed)
+    rig.turns.begin_result = StartedTurn(b"", ProgramStatus(), "", placed)
     return rig
 
 
@@ -35,28 +35,30 @@
         """Guards against gateways that choose blindly beside the leader."""
 
         async def work() -> None:
-            rig = await _rig(streams, streams, streams, placed="s2")
+            rig = await _rig(
+                stream_events, stream_events, stream_events, placed="s2"
+            )
             self.assertEqual([200] * _TURNS, await _ask_turns(rig))
             self.assertEqual(_TURNS, len(rig.servers[2].seen))
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_named_server_that_is_not_known_here_is_left(self) -> None:
         """Guards against turns that fail as this gateway's list is older."""
 
         async def work() -> None:
-            rig = await _rig(streams, streams, placed="s9")
+            rig = await _rig(stream_events, stream_events, placed="s9")
             self.assertEqual([200] * _TURNS, await _ask_turns(rig))
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_named_server_that_drains_gets_no_turn(self) -> None:
         """Guards against turns on a server that is about to leave."""
 
         async def work() -> None:
-            rig = await _rig(streams, streams, placed="s0")
+            rig = await _rig(stream_events, stream_events, placed="s0")
             known = rig.view.fleet.servers["s0"]
             draining = msgspec.structs.replace(
                 known, state=ServerState.DRAINING, sequence=known.sequence + 1
@@ -66,13 +68,13 @@
             self.assertEqual(0, len(rig.servers[0].seen))
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_named_server_of_another_service_gets_no_turn(self) -> None:
         """Guards against turns on a service that their route doesn't allow."""
 
         async def work() -> None:
-            rig = await _rig(streams, streams, placed="s0")
+            rig = await _rig(stream_events, stream_events, placed="s0")
             known = rig.view.fleet.servers["s0"]
             other = msgspec.structs.replace(
                 known, service="other", started_ms=known.started_ms + 1
@@ -82,7 +84,7 @@
             self.assertEqual(0, len(rig.servers[0].seen))
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_named_server_that_fails_here_is_left_after_some_turns(
         self,
@@ -90,23 +92,23 @@
         """Guards against a leader that names a server this host can't use."""
 
         async def work() -> None:
-            rig = await _rig(dies, streams, placed="s0")
+            rig = await _rig(abort_connection, stream_events, placed="s0")
             await _ask_turns(rig)
             self.assertLess(len(rig.servers[0].seen), _TURNS)
             self.assertGreater(len(rig.servers[1].seen), 0)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_server_with_its_address_closed_is_replaced_at_once(self) -> None:
         """Guards against turns that are lost to a server that has gone."""
 
         async def work() -> None:
-            rig = await _rig(streams, streams, placed="s0")
+            rig = await _rig(stream_events, stream_events, placed="s0")
             await rig.servers[0].stop()
             await asyncio.sleep(0.05)
             self.assertEqual([200] * _TURNS, await _ask_turns(rig))
             self.assertEqual(_TURNS, len(rig.servers[1].seen))
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -96,7 +96,7 @@
         """A caller sends headers that only the system may set."""
         out = _inside(
             "import names\n"
-            "from catkinpin.adapters.gateway.headers import Sending\n"
+            "from catkinpin.adapters.gateway.headers import ForwardingFields\n"
             "from catkinpin.adapters.http.headers import Headers\n"
             "told = Headers([(b'X-Hold', b'1'), (b'X-Pin-Ms', b'9'),"
             " (b'Kv-From', b'x'), (b'X-Kv-Backup', b'y'),"
@@ -104,8 +104,9 @@
             " (b'X-Expect-Instance', b'other'), (b'Connection', b'close'),"
             " (b'X-Deadline-Ms', b'900')])\n"
             "codec = names.codec()\n"
-            "call = codec.call(told)\n"
-            "sent = codec.to_server(told, call, Sending('i1', 700))\n"
+            "call = codec.decode_request(told)\n"
+            "fields = ForwardingFields('i1', 700)\n"
+            "sent = codec.encode_for_server(told, call, fields)\n"
             "print(sorted((k + b'=' + v).decode() for k, v in sent))\n"
         )
         self.assertEqual(
@@ -121,14 +122,15 @@
         """Guards against keys at servers and accounts that callers name."""
         out = _inside(
             "import dataclasses, names\n"
-            "from catkinpin.adapters.gateway.headers import Sending\n"
+            "from catkinpin.adapters.gateway.headers import ForwardingFields\n"
             "from catkinpin.adapters.http.headers import Headers\n"
             "told = Headers([(b'authorization', b'bearer k1'),"
             " (b'X-Tenant', b'forged'), (b'X-Deadline-Ms', b'900')])\n"
             "codec = names.codec()\n"
-            "call = dataclasses.replace(codec.call(told), account='acme')\n"
-            "sending = Sending('i1', 700, hides_key=True)\n"
-            "sent = codec.to_server(told, call, sending)\n"
+            "call = codec.decode_request(told)\n"
+            "call = dataclasses.replace(call, account='acme')\n"
+            "fields = ForwardingFields('i1', 700, strips_key=True)\n"
+            "sent = codec.encode_for_server(told, call, fields)\n"
             "print(sorted((k + b'=' + v).decode() for k, v in sent))\n"
         )
         self.assertEqual(
@@ -148,7 +150,8 @@
             "from catkinpin.core.control import accounts\n"
             "def known(*values):\n"
             "    told = [(b'Authorization', v) for v in values]\n"
-            "    found = names.codec().call(Headers(told)).key_digest\n"
+            "    call = names.codec().decode_request(Headers(told))\n"
+            "    found = call.key_digest\n"
             "    return found == accounts.digest_of('k1')\n"
             "print([known(b'Bearer k1'), known(b'Basic k1'), known(b'Bearer'),"
             " known(), known(b'Bearer k1', b'Bearer k2')])\n"
@@ -162,7 +165,8 @@
         out = _inside(
             "import names\n"
             "from catkinpin.adapters.http.headers import Headers\n"
-            "call = names.codec().call(Headers([(b'X-Token-Usage', b'a,'),"
+            "call = names.codec().decode_request("
+            "Headers([(b'X-Token-Usage', b'a,'),"
             " (b'X-Deadline-Ms', b'1e999'), (b'X-Prompt-Prefix', b',:,x:1'),"
             " (b'Cookie', b'a=b; X-Affinity-Key=17')]))\n"
             "print((call.deadline_ms, call.max_tokens, call.budget,"
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from catkinpin.adapters.gateway.turns import Started, Unknown
+from catkinpin.adapters.gateway.turns import StartedTurn, Unknown
 from catkinpin.core.control.ledger import Denial
 from catkinpin.core.control.routes import (
     RouteKind,
@@ -21,9 +21,9 @@
 from tests.fakes.gatewaycase import GatewayCase
 from tests.fakes.gatewayrig import (
     Rig,
-    events,
-    stream,
-    streams,
+    encode_events,
+    encode_stream,
+    stream_events,
 )
 
 
@@ -39,8 +39,10 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.STREAM, keeps_history=True)
-            await rig.start(streams)
-            rig.turns.begin_with = Started(b"before ", ProgramStatus(), "")
+            await rig.start(stream_events)
+            rig.turns.begin_result = StartedTurn(
+                b"before ", ProgramStatus(), ""
+            )
             rig.turns.finishing.clear()
             asking = asyncio.ensure_future(rig.ask(Program="p"))
             while not rig.turns.finished:
@@ -50,13 +52,13 @@
             rig.turns.finishing.set()
             got = await asking
             self.assertTrue(got.whole)
-            self.assertEqual(events(1, 3), got.body)
+            self.assertEqual(encode_events(1, 3), got.body)
             self.assertEqual(b"before in", rig.servers[0].seen[0].body)
             self.assertEqual([b"ine1\ne2\ne3\n"], rig.turns.finished)
             self.assertEqual([], rig.turns.settled)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_engine_that_fails_at_once_draws_no_turns(self) -> None:
         """An engine answers each turn with 500 after a ms, and so seems idle.
@@ -70,7 +72,7 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.STREAM, max_attempts=1)
-            await rig.start(fails, streams)
+            await rig.start(fails, stream_events)
             statuses = [(await rig.ask(f"q{n}")).status for n in range(12)]
             self.assertLessEqual(statuses.count(500), 1)
             rig.clock.now += 500
@@ -78,7 +80,7 @@
             self.assertLessEqual(statuses.count(500), 1)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_call_that_fails_for_its_own_reasons_ejects_no_server(
         self,
@@ -103,46 +105,46 @@
             self.assertFalse(balancer._is_ejected(server, now_ms))
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_turn_that_was_not_stored_does_not_look_whole(self) -> None:
         """No quorum is there at the end of a turn."""
 
         async def work() -> None:
             rig = Rig(RouteKind.STREAM, keeps_history=True)
-            await rig.start(streams)
-            rig.turns.finish_with = "no quorum"
+            await rig.start(stream_events)
+            rig.turns.finish_result = "no quorum"
             got = await rig.ask(Program="p")
             self.assertFalse(got.whole)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_denied_turns_reach_no_server(self) -> None:
         """The budget is spent, a turn doesn't exist, or nobody can tell."""
 
         async def work() -> None:
             rig = Rig(RouteKind.STREAM, keeps_history=True)
-            await rig.start(streams)
+            await rig.start(stream_events)
             for begun, status in (
                 (Denial.BUDGET_SPENT, 402),
                 (Denial.NO_SUCH_TURN, 404),
                 (Unknown("no leader"), 503),
             ):
-                rig.turns.begin_with = begun
+                rig.turns.begin_result = begun
                 got = await rig.ask(Program="p", Budget="5")
                 self.assertEqual(status, got.status)
-            self.assertEqual(0, rig.runs())
+            self.assertEqual(0, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_broken_stream_settles_what_the_caller_got(self) -> None:
         """A server dies within a turn that may not be resumed."""
 
         async def half(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            part = events(1, 2) + b"id: 3\nda"
-            writer.write(stream(seen, part, end=False))
+            part = encode_events(1, 2) + b"id: 3\nda"
+            writer.write(encode_stream(seen, part, end=False))
             await writer.drain()
             await asyncio.sleep(0.02)
             writer.transport.abort()
@@ -152,22 +154,24 @@
             await rig.start(half, half)
             got = await rig.ask(Program="p")
             self.assertFalse(got.whole)
-            self.assertEqual(1, rig.runs())
+            self.assertEqual(1, rig.count_server_requests())
             # Two events of two tokens each; the third was never whole.
             self.assertEqual([4], rig.turns.settled)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_resumable_stream_goes_on_at_another_server(self) -> None:
         """A server dies within an event; the caller sees each event once."""
 
         async def first(seen: Seen, writer: asyncio.StreamWriter) -> None:
             if resumed := seen.headers.get("resume-at"):
-                writer.write(stream(seen, events(int(resumed) + 1, 4)))
+                writer.write(
+                    encode_stream(seen, encode_events(int(resumed) + 1, 4))
+                )
                 return
-            part = events(1, 2) + b"id: 3\nda"
-            writer.write(stream(seen, part, end=False))
+            part = encode_events(1, 2) + b"id: 3\nda"
+            writer.write(encode_stream(seen, part, end=False))
             await writer.drain()
             await asyncio.sleep(0.02)
             writer.transport.abort()
@@ -177,11 +181,11 @@
             await rig.start(first, first)
             got = await rig.ask()
             self.assertTrue(got.whole)
-            self.assertEqual(events(1, 4), got.body)
-            self.assertEqual(2, rig.runs())
+            self.assertEqual(encode_events(1, 4), got.body)
+            self.assertEqual(2, rig.count_server_requests())
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_silent_server_is_kept_where_no_other_may_be_asked(self) -> None:
         """A full engine puts a turn back behind more urgent ones for 2 s.
@@ -190,10 +194,10 @@
         """
 
         async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(stream(seen, events(1, 1), end=False))
+            writer.write(encode_stream(seen, encode_events(1, 1), end=False))
             await writer.drain()
             await asyncio.sleep(2.0)
-            part = events(2, 2)
+            part = encode_events(2, 2)
             writer.write(b"%x\r\n%s\r\n0\r\n\r\n" % (len(part), part))
 
         async def work() -> None:
@@ -206,7 +210,7 @@
             await rig.start(slow)
             got = await rig.ask()
             self.assertTrue(got.whole)
-            self.assertEqual(events(1, 2), got.body)
+            self.assertEqual(encode_events(1, 2), got.body)
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
--- a/tests/test_unresponsive.py
+++ b/tests/test_unresponsive.py
@@ -20,7 +20,7 @@
 from catkinpin.core.requests.calls import RouteCall
 from tests import base
 from tests.fakes.gatewaycase import GatewayCase
-from tests.fakes.gatewayrig import Answered, Rig, good, mute
+from tests.fakes.gatewayrig import CallerResponse, Rig, answer_ok, never_answer
 from tests.fakes.instances import instance
 
 
@@ -115,8 +115,8 @@
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, has_engine=False)
-            await rig.start(mute, good)
-            hanging: list[asyncio.Future[Answered]] = []
+            await rig.start(never_answer, answer_ok)
+            hanging: list[asyncio.Future[CallerResponse]] = []
             while not rig.servers[0].seen:
                 name = f"h{len(hanging)}"
                 hanging.append(asyncio.ensure_future(rig.ask(name)))
@@ -131,7 +131,7 @@
                 one.cancel()
             await rig.stop()
 
-        self.play(work())
+        self.run_within_limit(work())
 
     def test_all_servers_avoided_are_tried_all_the_same(self) -> None:
         """Guards against refusals where the fault may be ours."""
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -45,24 +45,24 @@
         self.now = 0
         self.leader = _Leader()
         time = Clock(now_ms=lambda: self.now, wall_ms=lambda: 0)
-        self.usage = usage.Usage(
+        self.usage = usage.UsageReporter(
             cast("Any", self.leader), time, lambda: _GATEWAYS, set
         )
 
     def _run_one_report(self) -> None:
         async def once() -> None:
             running = asyncio.create_task(self.usage.run())
-            await asyncio.sleep(usage.REPORT_S * 1.5)
+            await asyncio.sleep(usage.REPORT_INTERVAL_S * 1.5)
             running.cancel()
 
         asyncio.run(once())
 
     def test_unreported_requests_are_reported_later(self) -> None:
         """Guards against requests that are never reported to a leader."""
-        self.usage.note(_LIMITED, in_program=True)
+        self.usage.record(_LIMITED, in_program=True)
         self.leader.is_lost = True
         self._run_one_report()
-        self.usage.note(_LIMITED, in_program=False)
+        self.usage.record(_LIMITED, in_program=False)
         self.leader.is_lost = False
         self._run_one_report()
         (report,) = self.leader.reports
@@ -72,7 +72,7 @@
     def test_account_over_its_quota_waits_until_there_is_room(self) -> None:
         """Guards against forwarding plain requests beyond the quota."""
         self.leader.over = {"a": 300}
-        self.usage.note(_LIMITED, in_program=True)
+        self.usage.record(_LIMITED, in_program=True)
         self._run_one_report()
         self.assertEqual(300, self.usage.retry_ms(_LIMITED, in_program=True))
         self.now = 301
@@ -81,7 +81,7 @@
     def test_programs_go_on_where_only_single_requests_are_over(self) -> None:
         """Guards against refusing calls of a program that was admitted."""
         self.leader.spent = {"a": 300}
-        self.usage.note(_LIMITED, in_program=False)
+        self.usage.record(_LIMITED, in_program=False)
         self._run_one_report()
         self.assertEqual(0, self.usage.retry_ms(_LIMITED, in_program=True))
         self.assertEqual(300, self.usage.retry_ms(_LIMITED, in_program=False))
@@ -91,14 +91,14 @@
         self.now = 4_000
         served = 0
         while not self.usage.retry_ms(_LIMITED, in_program=False):
-            self.usage.note(_LIMITED, in_program=False)
+            self.usage.record(_LIMITED, in_program=False)
             served += 1
         self.assertEqual((10 + 10 * 4) / _GATEWAYS, served)
 
     def test_account_without_a_limit_is_not_reported(self) -> None:
         """Guards against reports of accounts without a quota."""
         unlimited = ClientAccount(name="b")
-        self.usage.note(unlimited, in_program=False)
+        self.usage.record(unlimited, in_program=False)
         self._run_one_report()
         self.assertEqual([], self.leader.reports)
         self.assertEqual(0, self.usage.retry_ms(unlimited, in_program=False))
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -5,7 +5,7 @@
 import testtools
 
 from catkinpin import clock
-from catkinpin.adapters.gateway.view import View
+from catkinpin.adapters.gateway.view import ClusterView
 from catkinpin.core.control import protocol
 from catkinpin.core.control.routes import CallerLimits, Routing
 from tests.fakes.instances import instance
@@ -22,7 +22,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.view = View(clock.system_clock(), lambda _: None)
+        self.view = ClusterView(clock.system_clock(), lambda _: None)
 
     def test_lagging_keeper_is_heard_first(self) -> None:
         """The keeper that answers first was cut off and knows old routes.
@@ -58,7 +58,9 @@
     def test_whole_list_of_a_lagging_keeper_takes_no_server_away(self) -> None:
         """A keeper that lags lists servers as they were a while ago."""
         gone: list[str] = []
-        view = View(clock.system_clock(), lambda one: gone.append(one.id))
+        view = ClusterView(
+            clock.system_clock(), lambda one: gone.append(one.id)
+        )
         new, old = [instance("a"), instance("b")], [instance("a")]
         view.handle(protocol.ServersUpdate(index=9, instances=new, whole=True))
         view.handle(protocol.ServersUpdate(index=7, instances=old, whole=True))
