--- a/catkinpin/adapters/gateway/__init__.py
+++ b/catkinpin/adapters/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""How a gateway serves a request: route, server, exchange, answer."""
+"""The gateway: forwards the requests of callers to backend servers."""
--- a/catkinpin/adapters/gateway/context.py
+++ b/catkinpin/adapters/gateway/context.py
@@ -1,4 +1,4 @@
-"""What a gateway's requests share: servers, connections, turns, time."""
+"""Objects that all requests of a gateway share."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Parts:
-    """The parts.
+    """Objects that all requests of a gateway share.
 
     Attributes:
         view: routes and servers.
-        balancer: picks among the servers, and learns how they do.
-        speeds: of the servers, learned from their answers.
-        pool: connections to them.
-        turns: begins and settles programs' turns.
-        codec: translates headers.
-        clock: time.
-        waiting: plain calls that wait for their answers.
+        balancer: picks servers and records their successes and failures.
+        speeds: speeds of the servers, learned from their answers.
+        pool: connections to the servers.
+        turns: begins, stores and settles the turns of programs.
+        codec: decodes and encodes headers.
+        clock: source of the current time.
         usage: counts plain requests of client accounts.
+        waiting: plain calls that are waiting for their answers.
         gateways: returns how many gateways share the servers' limits.
         domain: failure domain of this gateway.
     """
--- a/catkinpin/adapters/gateway/crashes.py
+++ b/catkinpin/adapters/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash servers: their digest, and crash reports."""
+"""Digests of requests, and reports of servers that crashed on them."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 
 
 def digest_of(request: Request, call: RouteCall) -> str:
-    """Returns what a request is known by when it comes again.
+    """Returns a digest that is equal when the request is sent again.
 
-    Its id is another one then. A request without a body is told apart by its
-    program as well: many share its path, and are not at fault.
+    The digest leaves out the request's id, which is new each time. That of a
+    request without a body includes its program: many programs request the
+    same path, and those that don't crash servers must not be quarantined.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     parts = [request.method, request.target, call.affinity.encode()]
@@ -38,7 +39,7 @@
 
     Args:
         turns: sends the reports.
-        is_alive: asks whether the server of a choice can still be reached.
+        is_alive: returns whether the chosen server can still be reached.
     """
 
     def __init__(
@@ -51,10 +52,10 @@
         self._tasks = Tasks()
 
     def suspect(self, work: Work, choice: Choice) -> None:
-        """Looks whether a server that broke off has ended; reports it then."""
-        self._tasks.spawn(self._report(work, choice))
+        """Reports a server that broke off, if it can't be reached any more."""
+        self._tasks.spawn(self._report_if_down(work, choice))
 
-    async def _report(self, work: Work, choice: Choice) -> None:
+    async def _report_if_down(self, work: Work, choice: Choice) -> None:
         if await self._is_alive(work, choice):
             return
         instance = choice.instance
--- a/catkinpin/adapters/gateway/headers.py
+++ b/catkinpin/adapters/gateway/headers.py
@@ -1,4 +1,4 @@
-"""What a gateway needs from whoever knows its callers' and servers' headers."""
+"""Interface between a gateway and the header formats of a platform."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class ForwardingFields:
-    """What a gateway sends to a server besides the caller's headers.
+    """Values that a gateway adds to the caller's headers for a server.
 
     Attributes:
-        server: id of the server that is meant; another must refuse.
-        left_ms: how long the answer is waited for.
-        resume_at: last event that the caller has; empty: from the start.
+        server: id of the intended server; any other must refuse the request.
+        left_ms: time until the gateway stops waiting for the answer.
+        resume_at: id of the last event that the caller has received; empty to
+            stream from the start.
         urgency: 0 is the most urgent, 9 the least.
-        strips_key: whether the caller's API key is taken off.
+        strips_key: whether the caller's API key is removed.
     """
 
     server: str
@@ -33,14 +34,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class HeaderCodec:
-    """Translates headers.
+    """Decodes and encodes the headers of a platform.
 
     Attributes:
-        decode_request: decodes a caller's request.
-        encode_for_server: returns the fields that a server gets.
-        decode_answer: decodes a server's answer.
-        encode_refusal: returns the fields of an answer of our own, from the
-            request's id and after how many seconds to come back; 0: not said.
+        decode_request: decodes the headers of a caller's request.
+        encode_for_server: returns the headers of a request to a server.
+        decode_answer: decodes the headers of a server's answer.
+        encode_refusal: returns the headers of a refusal by the gateway, given
+            the request's id and the retry time in s; 0 for none.
     """
 
     decode_request: Callable[[Headers], RouteCall]
--- a/catkinpin/adapters/gateway/routefetch.py
+++ b/catkinpin/adapters/gateway/routefetch.py
@@ -1,4 +1,4 @@
-"""Fetches a routing document from one keeper, once several announce it."""
+"""Fetches routing documents that keepers announce."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 log = logging.getLogger(__name__)
 
-# A keeper of our own region hears of a document some 10 ms after the others;
-# waiting for it keeps the document off the link between regions.
-_NEAR_WAIT_S = 0.1
-# One fetch of some 100 KB over a busy link.
-_FETCH_S = 1.0
+# A keeper in this region may get a document some 10 ms after those elsewhere.
+# Waiting for it avoids a transfer over the link between regions.
+_SAME_REGION_WAIT_S = 0.1
+# A document has some 100 KB; the link may be busy.
+_FETCH_TIMEOUT_S = 1.0
 
 
 class RouteFetch:
-    """Keeps the view's routes at the newest version that is announced.
+    """Keeps the routes of a view at the newest announced version.
 
     Args:
-        keepers: links to them.
-        view: takes the documents.
-        region: where this gateway stands.
+        keepers: links to the keepers.
+        view: gets the fetched documents.
+        region: region of this gateway.
     """
 
     def __init__(
@@ -38,23 +38,23 @@
         self._view = view
         self._region = region
         self._versions: dict[str, int] = {}
-        self._news = asyncio.Event()
+        self._newer_announced = asyncio.Event()
 
     def announced(self, host: Host, message: protocol.RoutingUpdate) -> None:
-        """Takes what a keeper says of its version."""
+        """Records which version a keeper holds."""
         self._versions[host.link.address] = message.version
         if message.version > self._view.version:
-            self._news.set()
+            self._newer_announced.set()
 
     async def run(self) -> None:
-        """Fetches whenever there is something newer."""
+        """Fetches each newer version, for as long as the gateway runs."""
         while True:
-            await self._news.wait()
-            self._news.clear()
-            while (host := self._source()) is not None:
-                if not self._is_near(host):
-                    await asyncio.sleep(_NEAR_WAIT_S)
-                    host = self._source() or host
+            await self._newer_announced.wait()
+            self._newer_announced.clear()
+            while (host := self._newer_source()) is not None:
+                if not self._is_in_region(host):
+                    await asyncio.sleep(_SAME_REGION_WAIT_S)
+                    host = self._newer_source() or host
                 await self._fetch(host)
 
     async def _fetch(self, host: Host) -> None:
@@ -62,24 +62,24 @@
             reply = await self._keepers.ask(
                 host,
                 lambda ask: protocol.AskCurrent(ask=ask, from_leader=False),
-                _FETCH_S,
+                _FETCH_TIMEOUT_S,
             )
         except PeerLostError as exc:
-            log.info("routes not fetched: %s", exc)
+            log.info("fetching routes failed: %s", exc)
             self._versions.pop(host.link.address, None)
             return
         if reply.routing is not None:
             self._view.replace(routes.unpack(reply.routing))
 
-    def _source(self) -> Host | None:
-        """Returns a keeper that has something newer, a near one first."""
+    def _newer_source(self) -> Host | None:
+        """Returns a keeper with a newer version, preferably in this region."""
         newer = [
             host
             for host in self._keepers.connected()
             if self._versions.get(host.link.address, -1) > self._view.version
         ]
-        newer.sort(key=lambda host: not self._is_near(host))
+        newer.sort(key=lambda host: not self._is_in_region(host))
         return newer[0] if newer else None
 
-    def _is_near(self, host: Host) -> bool:
+    def _is_in_region(self, host: Host) -> bool:
         return host.info is not None and host.info.region == self._region
--- a/catkinpin/adapters/gateway/turns.py
+++ b/catkinpin/adapters/gateway/turns.py
@@ -1,4 +1,4 @@
-"""A program's turns, as a gateway sees them: begin, bytes, settle."""
+"""Begins, stores and settles the turns of programs for a gateway."""
 
 from __future__ import annotations
 
@@ -26,22 +26,23 @@
 
 log = logging.getLogger(__name__)
 
-# A holder that has not stored by then is slow; another one is asked as well.
-# Several times a sync and the way to the other region.
+# If a holder takes longer than this to store, the gateway also asks another
+# one. Several times a disk sync plus the round trip to the other region.
 _SLOW_STORE_S = 0.15
-_STORE_S = 1.5
-# A holder that was slow is asked last of its region for so long. One turn in
-# so many seconds finds out whether it still is; all others would wait for it.
-_AVOID_S = 2.0
-# One read of a chain's bytes from one holder.
-_FETCH_S = 0.6
-# A turn that is not settled keeps its reserve, so the gateway insists.
-_SETTLE_S = 6.0
+_STORE_TIMEOUT_S = 1.5
+# A slow holder is ranked last in its region for this long. After that one turn
+# tries it again; without the limit every turn would wait for it.
+_SLOW_HOLDER_S = 2.0
+# Timeout for reading the bytes of a chain from one holder.
+_FETCH_TIMEOUT_S = 0.6
+# An unsettled turn keeps its tokens reserved, so the gateway keeps asking for
+# this long.
+_SETTLE_TIMEOUT_S = 6.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Unknown:
-    """Sentinel: the ledger could not be asked.
+    """Result of a begin whose outcome the gateway could not learn.
 
     Attributes:
         reason: why, for the log.
@@ -52,10 +53,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class OverQuota:
-    """Sentinel: the turn's account has used up its quota.
+    """Result of a begin that was refused because of the account's quota.
 
     Attributes:
-        retry_ms: in how many ms there is room.
+        retry_ms: time until the quota has room again.
     """
 
     retry_ms: int
@@ -63,13 +64,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class StartedTurn:
-    """A turn that may begin.
+    """A turn that the leader has begun.
 
     Attributes:
-        history: bytes of the chain before it.
-        program_status: how its program is doing.
-        server: that ran its program's latest turn.
-        placed: the server that the leader names, empty for none.
+        history: bytes of the preceding turns in its chain.
+        program_status: time and turns used by its program so far.
+        server: the server that ran the program's latest turn.
+        placed: the server that the leader selected, or an empty string.
     """
 
     history: bytes
@@ -80,13 +81,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class TurnResult:
-    """What a turn came to.
+    """Outcome of a turn, as reported to the leader.
 
     Attributes:
-        tokens: handed to the caller.
-        server: that has its prompt; empty if none ran it.
-        lost_ms: what it took longer than on an idle server.
-        report: about the servers, for the leader.
+        tokens: number of tokens delivered to the caller.
+        server: the server that cached its prompt; empty if none ran it.
+        lost_ms: additional time compared with an idle server.
+        report: failures and speed of the servers.
     """
 
     tokens: int = 0
@@ -96,9 +97,10 @@
 
 
 class _Cache:
-    """Bytes of recent turns; the next turn mostly comes in at the same place.
+    """Caches the bytes of recent turns, least recently used evicted first.
 
-    It saves most reads over the link between regions.
+    A program's next turn usually arrives at the same gateway, so the cache
+    saves most reads over the link between regions.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -109,31 +111,31 @@
         )
 
     def get(self, attempt: str) -> bytes | None:
-        """Returns a turn's bytes, None where they aren't held."""
+        """Returns the bytes of a turn, or None if they are not cached."""
         data = self._parts.get(attempt)
         if data is not None:
             self._parts.move_to_end(attempt)
         return data
 
     def put(self, attempt: str, data: bytes) -> None:
-        """Takes a turn's bytes; the oldest go."""
+        """Adds the bytes of a turn and evicts the least recently used."""
         if attempt in self._parts or len(data) > self._max_bytes:
             return
         self._parts[attempt] = data
         self._size += len(data)
         while self._size > self._max_bytes:
-            _, old = self._parts.popitem(last=False)
-            self._size -= len(old)
+            _, evicted = self._parts.popitem(last=False)
+            self._size -= len(evicted)
 
 
 class Turns:
-    """Asks the keepers on behalf of this gateway's requests.
+    """Sends requests about turns to the leader and to the holders of bytes.
 
     Args:
-        keepers: links to them.
-        region: where this gateway stands.
-        cache_bytes: bytes of turns kept in memory.
-        copies: hosts that must hold a turn before it ends.
+        keepers: links to keepers and stores.
+        region: region of this gateway.
+        cache_bytes: maximum size of the cached turns.
+        copies: number of hosts that must store a turn before it finishes.
     """
 
     def __init__(
@@ -148,13 +150,13 @@
         self._region = region
         self._cache = _Cache(cache_bytes)
         self._tasks = Tasks()
-        self._next = 0
-        # Until when holders that were slow are asked last, by identity.
-        self._avoided: dict[str, float] = {}
+        self._rotation = 0
+        # For each slow holder the loop time until which it is ranked last.
+        self._slow_until_s: dict[str, float] = {}
 
     @property
     def unsettled(self) -> int:
-        """How many turns still wait to be settled."""
+        """Number of running background tasks: settling and storing turns."""
         return len(self._tasks)
 
     async def begin(
@@ -164,7 +166,16 @@
         wait_s: float,
         place: PlaceTurn | None = None,
     ) -> StartedTurn | Denial | OverQuota | Unknown:
-        """Reserves for a turn, has it placed, fetches what came before it."""
+        """Begins a turn at the leader and loads the bytes of its chain.
+
+        The leader reserves tokens and, if asked to, selects a server.
+
+        Args:
+            call: the request.
+            route: its route.
+            wait_s: timeout of the leader's reply.
+            place: what the leader needs to select a server; None for no server.
+        """
         begin = Begin(
             attempt=call.attempt,
             program=call.program,
@@ -184,14 +195,15 @@
                 wait_s,
             )
         except PeerLostError as exc:
-            # It may have reserved; what is never settled counts for ever.
+            # The leader may have reserved tokens. Without a settle they would
+            # stay reserved forever.
             self.settle(call, TurnResult())
             return Unknown(str(exc))
         if began.denial == Denial.QUOTA_USED_UP:
             return OverQuota(began.retry_ms)
         if began.denial:
             return Denial(began.denial)
-        history = await self._history(began.chain)
+        history = await self._load_chain(began.chain)
         if history is None:
             self.settle(call, TurnResult())
             return Unknown("the history can't be read now")
@@ -202,7 +214,11 @@
     async def finish(
         self, call: RouteCall, data: bytes, ran: TurnResult
     ) -> str:
-        """Makes a whole turn last; returns why not, or an empty string."""
+        """Stores a complete turn and records it at the leader.
+
+        Returns:
+            Why this failed, or an empty string.
+        """
         holders = await self._store(call.attempt, data)
         if not holders:
             self.settle(call, ran)
@@ -223,7 +239,7 @@
                 lambda ask: protocol.AskFinish(
                     ask=ask, finish=finish, report=ran.report
                 ),
-                _STORE_S,
+                _STORE_TIMEOUT_S,
             )
         except PeerLostError as exc:
             return str(exc)
@@ -231,7 +247,7 @@
         return ""
 
     def settle(self, call: RouteCall, ran: TurnResult) -> None:
-        """Settles a turn that can't be continued; nobody waits for it."""
+        """Settles in the background a turn that no later turn can continue."""
         finish = Finish(
             attempt=call.attempt,
             program=call.program,
@@ -243,27 +259,27 @@
             server=ran.server,
             lost_ms=ran.lost_ms,
         )
-        self._tasks.spawn(self._settle(finish, ran.report))
+        self._tasks.spawn(self._send_settle(finish, ran.report))
 
     async def report_crash(self, content: str, server: str) -> None:
-        """Tells the leader that a server crashed while it ran a request."""
+        """Reports that `server` crashed while it ran the request `content`."""
         try:
             await self._keepers.ask_leader(
                 lambda ask: protocol.ReportCrash(
                     ask=ask, content=content, server=server
                 ),
-                _STORE_S,
+                _STORE_TIMEOUT_S,
             )
         except PeerLostError as exc:
             decisions.note("unreported", "", server=server, reason=str(exc))
 
-    async def _settle(self, finish: Finish, report: TurnReport) -> None:
+    async def _send_settle(self, finish: Finish, report: TurnReport) -> None:
         try:
             await self._keepers.ask_leader(
                 lambda ask: protocol.AskFinish(
                     ask=ask, finish=finish, report=report
                 ),
-                _SETTLE_S,
+                _SETTLE_TIMEOUT_S,
             )
         except PeerLostError as exc:
             decisions.note(
@@ -274,7 +290,7 @@
                 reason=str(exc),
             )
 
-    async def _history(self, chain: list[Link]) -> bytes | None:
+    async def _load_chain(self, chain: list[Link]) -> bytes | None:
         missing = [k for k in chain if self._cache.get(k.attempt) is None]
         found: dict[str, bytes] = {}
         if missing:
@@ -290,9 +306,9 @@
         return b"".join(parts)
 
     async def _fetch(self, links: list[Link], found: dict[str, bytes]) -> None:
-        """Reads turns' bytes, each from its holders, the near one first."""
-        for attempt in range(self._copies):
-            wanted: dict[str, list[str]] = {}
+        """Reads the bytes of turns into `found`, nearest holders first."""
+        for holder_index in range(self._copies):
+            requested: dict[str, list[str]] = {}
             for link in links:
                 if link.attempt in found:
                     continue
@@ -302,123 +318,123 @@
                         for n in link.holders
                         if (h := self._keepers.by_node(n))
                     ),
-                    key=self._distance,
+                    key=self._region_rank,
                 )
                 if holders:
-                    host = holders[min(attempt, len(holders) - 1)]
+                    host = holders[min(holder_index, len(holders) - 1)]
                     address = host.link.address
-                    wanted.setdefault(address, []).append(link.attempt)
-            if not wanted:
+                    requested.setdefault(address, []).append(link.attempt)
+            if not requested:
                 return
             await asyncio.gather(
-                *(self._read(a, names, found) for a, names in wanted.items())
+                *(self._read_from(a, t, found) for a, t in requested.items())
             )
 
-    async def _read(
+    async def _read_from(
         self, address: str, attempts: list[str], found: dict[str, bytes]
     ) -> None:
         host = self._keepers.by_address(address)
         if host is None:
             return
         try:
-            got = await self._keepers.ask(
+            reply = await self._keepers.ask(
                 host,
                 lambda ask: protocol.Get(ask=ask, attempts=attempts),
-                _FETCH_S,
+                _FETCH_TIMEOUT_S,
             )
         except PeerLostError as exc:
-            log.info("turns not read: %s", exc, extra={"peer": address})
+            log.info("reading turns failed: %s", exc, extra={"peer": address})
             return
-        for attempt, data in zip(attempts, got.parts, strict=True):
+        for attempt, data in zip(attempts, reply.parts, strict=True):
             if data is not None:
                 found[attempt] = data
 
     async def _store(self, attempt: str, data: bytes) -> list[str]:
-        """Stores a turn's bytes on enough hosts; returns them, or none."""
-        hosts = self._candidates()
+        """Stores bytes on `copies` hosts; returns them, or none if too few."""
+        hosts = self._ranked_hosts()
         stored: list[str] = []
         running: dict[asyncio.Task[str], str] = {}
         loop = asyncio.get_running_loop()
-        until = loop.time() + _STORE_S
+        until_s = loop.time() + _STORE_TIMEOUT_S
         for _ in range(self._copies):
-            self._put_next(hosts, attempt, data, running)
-        while running and len(stored) < self._copies and loop.time() < until:
+            self._start_put(hosts, attempt, data, running)
+        while running and len(stored) < self._copies and loop.time() < until_s:
             done, _ = await asyncio.wait(
                 running,
                 timeout=_SLOW_STORE_S,
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if not done:
-                self._avoid(running.values())
+                self._mark_slow(running.values())
             stored += [node for task in done if (node := task.result())]
             failed = sum(not task.result() for task in done)
-            self._avoid(running[task] for task in done if not task.result())
+            self._mark_slow(running[task] for task in done if not task.result())
             for task in done:
                 del running[task]
-            more = failed if done else 1
+            extra_puts = failed if done else 1
             if len(stored) < self._copies:
-                for _ in range(more):
-                    self._put_next(hosts, attempt, data, running)
+                for _ in range(extra_puts):
+                    self._start_put(hosts, attempt, data, running)
         return stored[: self._copies] if len(stored) >= self._copies else []
 
-    def _put_next(
+    def _start_put(
         self,
         hosts: list[Host],
         attempt: str,
         data: bytes,
         running: dict[asyncio.Task[str], str],
     ) -> None:
-        """Begins to store on the next host, where there is one."""
+        """Starts a put on the next host, if there is one."""
         if not hosts:
             return
         host = hosts.pop(0)
         task = self._tasks.spawn(self._put(host, attempt, data))
         running[task] = host.info.node if host.info is not None else ""
 
-    def _avoid(self, nodes: Iterable[str]) -> None:
-        """Has holders asked last for a while."""
-        until_s = asyncio.get_running_loop().time() + _AVOID_S
+    def _mark_slow(self, nodes: Iterable[str]) -> None:
+        """Ranks slow or failed holders last for `_SLOW_HOLDER_S`."""
+        until_s = asyncio.get_running_loop().time() + _SLOW_HOLDER_S
         for node in nodes:
-            if node not in self._avoided:
+            if node not in self._slow_until_s:
                 decisions.note("slow-holder", "", holder=node)
-            self._avoided[node] = until_s
+            self._slow_until_s[node] = until_s
 
     async def _put(self, host: Host, attempt: str, data: bytes) -> str:
-        """Stores on one host; returns its identity, empty where it failed."""
+        """Stores on one host; returns its identity, empty after a failure."""
         node = host.info.node if host.info is not None else ""
         try:
             reply = await self._keepers.ask(
                 host,
                 lambda ask: protocol.Put(ask=ask, attempt=attempt, data=data),
-                _STORE_S,
+                _STORE_TIMEOUT_S,
             )
         except PeerLostError as exc:
-            log.info("turn not stored: %s", exc)
+            log.info("storing a turn failed: %s", exc)
             return ""
         return node if isinstance(reply, protocol.Done) else ""
 
-    def _candidates(self) -> list[Host]:
-        """Returns the hosts to store at, the best first."""
-        self._next += 1
-        leaving = self._keepers.retiring
+    def _ranked_hosts(self) -> list[Host]:
+        """Returns the hosts to store on, the best first."""
+        self._rotation += 1
+        retiring = self._keepers.retiring
         now_s = asyncio.get_running_loop().time()
-        for node, until_s in list(self._avoided.items()):
+        for node, until_s in list(self._slow_until_s.items()):
             if until_s < now_s:
-                del self._avoided[node]
+                del self._slow_until_s[node]
         hosts = {
             host.info.node: (host, copies.holder_of(host.info))
             for host in self._keepers.connected()
-            if host.info is not None and host.info.node not in leaving
+            if host.info is not None and host.info.node not in retiring
         }
         ordered = copies.rank_hosts(
             [holder for _, holder in hosts.values()],
             self._region,
             self._keepers.leader,
-            self._next,
-            self._avoided,
+            self._rotation,
+            self._slow_until_s,
         )
         return [hosts[holder.node][0] for holder in ordered]
 
-    def _distance(self, host: Host) -> int:
+    def _region_rank(self, host: Host) -> int:
         region = host.info.region if host.info is not None else ""
         return int(region != self._region)
--- a/catkinpin/adapters/gateway/usage.py
+++ b/catkinpin/adapters/gateway/usage.py
@@ -1,9 +1,10 @@
-"""Plain requests of client accounts, reported to the leader.
+"""Reports plain requests of client accounts to the leader.
 
-Turns pass the leader, plain requests don't: asked before each, it would add
-the way to it, between regions 16 ms, to every tool call. They are passed on
-and reported a moment later; the reply names the accounts that get no more.
-The same report names servers that have an overdue call.
+Turns are begun at the leader, plain requests are not: asking it first would
+add a round trip, 16 ms between regions, to every tool call. The gateway
+forwards them at once and reports them shortly after; the reply lists the
+accounts whose requests must be refused. The same report lists the servers
+that have an overdue call.
 """
 
 from __future__ import annotations
@@ -25,14 +26,19 @@
 
 _MS = 1_000
 REPORT_INTERVAL_S = 0.2
-_ASK_S = 1.0
-# Without a leader for longer, single requests get this gateway's share.
-_OUTAGE_MS = 1_000
-_RETRY_OUTAGE_MS = 500
+_REPORT_TIMEOUT_S = 1.0
+# When reports have failed for longer than this, requests outside of programs
+# are limited to this gateway's share of the quota.
+_MIN_OUTAGE_MS = 1_000
+_OUTAGE_RETRY_AFTER_MS = 500
 
 
 async def wait_for_room(retry_ms: int, until_s: float) -> bool:
-    """Waits until a quota has room; returns whether it has by `until_s`."""
+    """Waits until a quota has room, if that is no later than `until_s`.
+
+    Returns:
+        Whether it waited; False at once if the wait would be too long.
+    """
     now_s = asyncio.get_running_loop().time()
     if now_s + retry_ms / _MS > until_s:
         return False
@@ -41,13 +47,13 @@
 
 
 class UsageReporter:
-    """Reports plain requests, and knows which accounts get none served.
+    """Reports plain requests and tracks which accounts are over their quota.
 
     Args:
-        keepers: links to the leader.
-        clock: time.
+        keepers: links to the keepers, the leader among them.
+        clock: source of the current time.
         gateways: returns how many gateways share a quota.
-        unresponsive: returns servers that have an overdue call.
+        unresponsive: returns the servers that have an overdue call.
     """
 
     def __init__(
@@ -59,27 +65,27 @@
     ) -> None:
         self._keepers = keepers
         self._clock = clock
-        self._gateways = gateways
+        self._count_gateways = gateways
         self._pending: dict[str, AccountUse] = {}
-        self._reported_ms = clock.now_ms()
-        self._unresponsive = unresponsive
-        self._over: dict[str, int] = {}
-        self._spent: dict[str, int] = {}
+        self._last_report_ms = clock.now_ms()
+        self._overdue_servers = unresponsive
+        self._over_until_ms: dict[str, int] = {}
+        self._spent_until_ms: dict[str, int] = {}
 
     def retry_ms(self, account: ClientAccount, *, in_program: bool) -> int:
-        """Returns in how many ms a request may be passed on, 0 for now."""
+        """Returns in how many ms a request may be forwarded; 0: now."""
         if not account.quota.is_limited:
             return 0
         now_ms = self._clock.now_ms()
-        until_ms = self._over.get(account.name, 0)
+        until_ms = self._over_until_ms.get(account.name, 0)
         if not in_program:
-            until_ms = max(until_ms, self._spent.get(account.name, 0))
+            until_ms = max(until_ms, self._spent_until_ms.get(account.name, 0))
             if self._is_share_used(account, now_ms):
-                return _RETRY_OUTAGE_MS
+                return _OUTAGE_RETRY_AFTER_MS
         return max(0, until_ms - now_ms)
 
     def record(self, account: ClientAccount, *, in_program: bool) -> None:
-        """Counts a request that is passed on."""
+        """Counts a forwarded request for the next report."""
         if not account.quota.is_limited:
             return
         use = AccountUse(
@@ -87,14 +93,19 @@
             single=int(not in_program),
             in_programs=int(in_program),
         )
-        self._add(use)
+        self._add_pending(use)
 
     async def run(self) -> None:
-        """Reports for as long as the gateway runs."""
+        """Sends reports for as long as the gateway runs."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
-            unresponsive = sorted(self._unresponsive())
-            if self._pending or self._over or self._spent or unresponsive:
+            unresponsive = sorted(self._overdue_servers())
+            if (
+                self._pending
+                or self._over_until_ms
+                or self._spent_until_ms
+                or unresponsive
+            ):
                 await self._report(unresponsive)
 
     async def _report(self, unresponsive: list[str]) -> None:
@@ -104,30 +115,36 @@
                 lambda ask: protocol.ReportUse(
                     ask=ask, uses=uses, unresponsive=unresponsive
                 ),
-                _ASK_S,
+                _REPORT_TIMEOUT_S,
             )
         except PeerLostError as exc:
             decisions.note("use-unreported", "", reason=str(exc))
             for use in uses:
-                self._add(use)
+                self._add_pending(use)
             return
         now_ms = self._clock.now_ms()
-        self._reported_ms = now_ms
-        self._over = {a: now_ms + ms for a, ms in reply.over.items()}
-        self._spent = {a: now_ms + ms for a, ms in reply.spent.items()}
-
-    def _add(self, use: AccountUse) -> None:
+        self._last_report_ms = now_ms
+        self._over_until_ms = {
+            account: now_ms + ms for account, ms in reply.over.items()
+        }
+        self._spent_until_ms = {
+            account: now_ms + ms for account, ms in reply.spent.items()
+        }
+
+    def _add_pending(self, use: AccountUse) -> None:
         self._pending[use.account] = use.plus(self._pending.get(use.account))
 
     def _is_share_used(self, account: ClientAccount, now_ms: int) -> bool:
-        """Returns whether an outage has used up this gateway's share.
+        """Returns whether this gateway's share is used up in an outage.
 
-        Without a leader nobody adds up what the gateways pass on.
+        Without a leader the requests of all gateways are not added up.
         """
-        outage_ms = now_ms - self._reported_ms
+        outage_ms = now_ms - self._last_report_ms
         unreported = self._pending.get(account.name)
-        if unreported is None or outage_ms < _OUTAGE_MS:
+        if unreported is None or outage_ms < _MIN_OUTAGE_MS:
             return False
         quota = account.quota
         allowed = quota.burst + quota.rate_per_s * outage_ms / _MS
-        return unreported.single >= max(1, allowed / max(1, self._gateways()))
+        return unreported.single >= max(
+            1, allowed / max(1, self._count_gateways())
+        )
--- a/catkinpin/adapters/gateway/view.py
+++ b/catkinpin/adapters/gateway/view.py
@@ -1,4 +1,4 @@
-"""What a gateway believes: routes and servers, as the keepers tell them."""
+"""A gateway's copy of the routes, the servers and the quarantine."""
 
 from __future__ import annotations
 
@@ -19,26 +19,27 @@
     from catkinpin.core.control.servers import Instance
 
 _MS = 1_000
-# Keepers that were restarted together have a leader 0.4 s after the last one
-# is up, and that takes up to a second. A multiple of both.
-_STARTING_MS = 3_000
+# Keepers that were restarted together take up to a second to come up and elect
+# a leader 0.4 s after the last one is up. A multiple of both.
+_STARTUP_MS = 3_000
 
 
 class ClusterView:
-    """Routes and servers.
+    """Routes, servers and quarantined requests, as the keepers announce them.
 
-    Several keepers tell the same, some later than others. Versions, births
-    and sequence numbers decide, so that late messages change nothing.
+    Several keepers announce the same state, some later than others. Versions,
+    start times and sequence numbers are compared, so that late messages have
+    no effect.
 
     Args:
-        clock: time.
-        on_gone: called with each server that is gone.
+        clock: source of the current time.
+        on_gone: called with each server that is no longer ready or listed.
 
     Attributes:
-        table: the routes, None before any is known.
+        table: the routes, None until they are known.
         fleet: the servers.
-        quarantined: digests of requests that no server may get.
-        changed_ms: when the routes changed last.
+        quarantined: digests of requests that must not be sent to any server.
+        changed_ms: time of the latest change of the routes.
     """
 
     def __init__(
@@ -50,41 +51,42 @@
         self.changed_ms = clock.now_ms()
         self._clock = clock
         self._on_gone = on_gone
-        self._began_ms = clock.now_ms()
-        self._known = asyncio.Event()
-        # Newest version of which a keeper knew that there was none newer.
-        self._current = -1
-        self._announced = -1
-        self._index = 0
+        self._started_ms = clock.now_ms()
+        self._may_serve = asyncio.Event()
+        # Newest version that a keeper confirmed to be the current one.
+        self._confirmed_version = -1
+        self._announced_version = -1
+        self._servers_index = 0
 
     @property
     def serves(self) -> bool:
-        """Whether the routes known are fit to decide by.
+        """Whether the routes were current at some time since the start.
 
-        A process that has just started may hear first of a keeper that lags;
-        it would then serve a route that was removed long ago.
-        So it waits for one that knows the newest.
+        The first keeper that answers a new process may lag; with its routes
+        the gateway would serve a route that was removed long ago. So it waits
+        for a keeper that knows the newest version.
         """
-        return self._known.is_set()
+        return self._may_serve.is_set()
 
     async def wait_serves(self, wait_s: float) -> bool:
-        """Waits until the routes are fit to decide by; returns whether so.
-
-        After everything was restarted all gateways are up some hundred ms
-        before there is a leader. A caller that is refused meanwhile may come
-        back too late, or too often for its program; one that waits here is
-        served at the first moment. A process that has been up for longer
-        without routes is cut off: waiting there would only delay a refusal.
+        """Waits for current routes; returns whether they are known.
+
+        After a restart of all processes the gateways are up some hundred ms
+        before a leader is elected. A caller that is refused in that time may
+        retry too late, or too often for its program, whereas one that waits
+        is served as soon as possible. A process that has been up for longer
+        than `_STARTUP_MS` without routes is disconnected from the keepers;
+        waiting there would only delay the refusal.
         """
         if self.serves:
             return True
-        up_ms = self._clock.now_ms() - self._began_ms
-        wait_s = min(wait_s, (_STARTING_MS - up_ms) / _MS)
+        up_ms = self._clock.now_ms() - self._started_ms
+        wait_s = min(wait_s, (_STARTUP_MS - up_ms) / _MS)
         if wait_s <= 0:
             return False
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
-                await self._known.wait()
+                await self._may_serve.wait()
         return self.serves
 
     @property
@@ -94,16 +96,16 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether a keeper has announced routes that aren't here yet."""
-        return self._announced > self.version
+        """Whether a keeper has announced newer routes than those held here."""
+        return self._announced_version > self.version
 
     @property
     def version(self) -> int:
-        """Version of the routes, -1 for none."""
+        """Version of the routes; -1 if there are none."""
         return self.table.routing.version if self.table is not None else -1
 
     def handle(self, message: Any) -> None:
-        """Takes what a keeper says."""
+        """Applies a message from a keeper."""
         match message:
             case protocol.RoutingUpdate():
                 self._handle_routing(message)
@@ -120,13 +122,15 @@
                 self.quarantined.update(message.contents)
 
     def _handle_routing(self, message: protocol.RoutingUpdate) -> None:
-        self._announced = max(self._announced, message.version)
+        self._announced_version = max(self._announced_version, message.version)
         if message.is_current:
-            self._current = max(self._current, message.version)
-            self._settle()
+            self._confirmed_version = max(
+                self._confirmed_version, message.version
+            )
+            self._allow_if_current()
 
     def replace(self, routing: Routing) -> None:
-        """Takes a routing document; one that is not newer changes nothing."""
+        """Replaces the routes, unless the given version is not newer."""
         if routing.version <= self.version:
             return
         before = self.version
@@ -139,33 +143,33 @@
             before=before,
             routes=len(routing.routes),
         )
-        self._settle()
+        self._allow_if_current()
 
-    def _settle(self) -> None:
-        """Starts to serve once the routes are the newest; for good.
+    def _allow_if_current(self) -> None:
+        """Allows serving once the routes are current, and never revokes it.
 
-        A newer version that is still being fetched stops nothing.
+        The gateway goes on serving while it fetches a newer version.
         """
-        if 0 <= self._current <= self.version:
-            self._known.set()
+        if 0 <= self._confirmed_version <= self.version:
+            self._may_serve.set()
 
     def _handle_servers(self, message: protocol.ServersUpdate) -> None:
-        for announced in message.instances:
-            for changed in self.fleet.apply(announced):
-                self._note(changed)
+        for update in message.instances:
+            for changed in self.fleet.apply(update):
+                self._report_change(changed)
         if not message.whole:
-            self._index = max(self._index, message.index)
+            self._servers_index = max(self._servers_index, message.index)
             return
-        if message.index < self._index:
+        if message.index < self._servers_index:
             return
-        self._index = message.index
-        listed = {announced.id for announced in message.instances}
+        self._servers_index = message.index
+        listed = {update.id for update in message.instances}
         for instance in list(self.fleet.servers.values()):
             if instance.id not in listed:
                 self.fleet.drop(instance.id)
                 self._on_gone(instance)
 
-    def _note(self, changed: Instance) -> None:
+    def _report_change(self, changed: Instance) -> None:
         decisions.note(
             "server",
             "",
