--- a/catkinpin/core/programs/admissions.py
+++ b/catkinpin/core/programs/admissions.py
@@ -83,7 +83,7 @@
         if self._gate.is_quarantined(content):
             text = "this request crashed servers and is quarantined"
             return effects.BeginRejected(begin, Reason.QUARANTINED, text)
-        scopes = assignment.scopes_of(cfg, begin)
+        scopes = assignment.limit_scopes(cfg, begin)
         limit_reached = self._admission.check(scopes, begin.deadline_ms, now_ms)
         if limit_reached is None:
             return None
--- a/catkinpin/core/programs/grants.py
+++ b/catkinpin/core/programs/grants.py
@@ -41,7 +41,7 @@
         waiters: Waiters,
         tracker: attempts.AttemptTracker,
         deadlines: Deadlines,
-        placing: assignment.Placing,
+        placing: assignment.CallAssigner,
         admission: Admission,
         entries: Mapping[str, EntryRef],
         cfg: Callable[[], Configuration],
@@ -61,7 +61,7 @@
         deployment = self.find_deployment(begin)
         priority = deployment.priority if deployment is not None else 0
         entries = list(self._entries.values())
-        return assignment.choice_of(placed, entry, entries, priority)
+        return assignment.logged_choice(placed, entry, entries, priority)
 
     def send_grant(
         self, effect: effects.CallGranted, now_ms: int, wall_ms: int
@@ -70,7 +70,7 @@
         call = effect.call
         attempt = call.attempt
         assert attempt is not None
-        self._admission.started(call.key, now_ms)
+        self._admission.mark_running(call.key, now_ms)
         incarnation = attempt.choice.entry_incarnation
         waiter = self._waiters.find_for_grant(call.key, incarnation)
         if waiter is None:
@@ -93,15 +93,15 @@
 
     def register_call(self, call: Call, now_ms: int, wall_ms: int) -> None:
         """Counts an open call for its limits and adds its deadline timer."""
-        scopes = assignment.scopes_of(self._cfg(), call.begin)
-        self._admission.opened(call.key, scopes, now_ms)
+        scopes = assignment.limit_scopes(self._cfg(), call.begin)
+        self._admission.add_call(call.key, scopes, now_ms)
         self._deadlines.track_call(call, now_ms, wall_ms)
 
     def resume_attempt(self, call: Call, now_ms: int) -> None:
         """Tracks an attempt that an earlier leader granted, if there is one."""
         if call.attempt is None:
             return
-        self._admission.started(call.key, now_ms)
+        self._admission.mark_running(call.key, now_ms)
         self._tracker.add(call.key, call.attempt)
-        self._placing.resume(call, call.attempt)
+        self._placing.restore_call(call, call.attempt)
         self._deadlines.schedule_recall(call.attempt.attempt, now_ms)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Which servers the leader names for turns, under the loads it is made for."""
+"""Tests the leader's server selection for turns under typical loads."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 
 
 class PlacerTest(testtools.TestCase):
-    """Bursts through many gateways, shared prompts, and broken ones."""
+    """Bursts through many gateways, shared prompts, and broken gateways."""
 
     def test_burst_through_many_gateways_spreads_over_all_engines(self) -> None:
-        """Guards against some engines with long queues while others idle."""
+        """Guards against long queues at some engines while others are idle."""
         placer, servers = _placer(), _servers()
         counts: collections.Counter[str] = collections.Counter()
         for n in range(300):
@@ -59,7 +59,7 @@
     def test_shared_prompts_are_read_by_few_engines_under_light_load(
         self,
     ) -> None:
-        """Guards against every engine reading every shared prompt."""
+        """Guards against every engine prefilling every shared prompt."""
         placer, servers = _placer(), _servers()
         read: set[tuple[str, str]] = set()
         for n in range(400):
@@ -68,11 +68,11 @@
             turn = _turn(f"session-{n}", shared)
             server = placer.place(attempt, turn, servers, None, 50 * n)
             read.add((shared, server))
-            placer.settle(attempt, TurnReport(), 50 * n + 45)
+            placer.finish(attempt, TurnReport(), 50 * n + 45)
         self.assertLessEqual(len(read), 40)
 
     def test_session_stays_at_the_server_that_holds_its_prompt(self) -> None:
-        """Guards against sessions whose prompts are read again at each turn."""
+        """Guards against sessions whose prompts are prefilled at each turn."""
         placer, servers = _placer(), _servers()
         turn = _turn("mine")
         last = servers[7]
@@ -88,7 +88,7 @@
     def test_near_servers_come_first_while_they_are_idle(self) -> None:
         """Guards against prompts that cross the link between regions."""
         placer, servers = _placer(), _servers()
-        near = {one.id for one in servers if one.domain in "ab"}
+        near = {server.id for server in servers if server.domain in "ab"}
         for n in range(12):
             turn = _turn(f"session-{n}", f"shared-{n}")
             self.assertIn(placer.place(f"t{n}", turn, servers, None, n), near)
@@ -99,32 +99,32 @@
         first = placer.place("t", _turn("s"), servers, None, 0)
         again = placer.place("t", _turn("s"), servers, None, 700)
         self.assertEqual(first, again)
-        self.assertEqual(1, placer.running)
+        self.assertEqual(1, placer.running_turns)
 
     def test_turns_of_a_dead_gateway_expire(self) -> None:
-        """Guards against servers that seem full of turns nobody runs."""
+        """Guards against servers that seem full of turns that nobody runs."""
         placer, servers = _placer(), _servers()
         for n in range(50):
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, 0)
-        self.assertEqual(50, placer.running)
+        self.assertEqual(50, placer.running_turns)
         placer.place("late", _turn("late"), servers, None, 2 * _LEFT_MS)
-        self.assertEqual(1, placer.running)
+        self.assertEqual(1, placer.running_turns)
 
     def test_finish_of_an_unknown_turn_changes_nothing(self) -> None:
         """Guards against finishes of turns that another leader placed."""
         placer, servers = _placer(), _servers()
         placer.place("t", _turn("s"), servers, None, 0)
-        placer.settle("other", TurnReport(failed=["s1"]), 10)
-        self.assertEqual(1, placer.running)
+        placer.finish("other", TurnReport(failed=["s1"]), 10)
+        self.assertEqual(1, placer.running_turns)
 
     def test_server_that_fails_turns_gets_none_for_a_while(self) -> None:
         """Guards against a failing engine that always seems idle."""
         placer, servers = _placer(), _servers(4)
         failing = placer.place("t0", _turn("s"), servers, None, 0)
-        placer.settle("t0", TurnReport(failed=[failing]), 1)
+        placer.finish("t0", TurnReport(failed=[failing]), 1)
         again = placer.place("t1", _turn("s"), servers, None, 2)
         self.assertEqual(failing, again)
-        placer.settle("t1", TurnReport(failed=[failing]), 3)
+        placer.finish("t1", TurnReport(failed=[failing]), 3)
         chosen = {
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, 10)
             for n in range(2, 20)
@@ -132,13 +132,13 @@
         self.assertNotIn(failing, chosen)
 
     def test_report_about_another_server_ejects_nothing(self) -> None:
-        """Guards against one broken gateway that blames every server."""
+        """Guards against one broken gateway that reports every server."""
         placer, servers = _placer(), _servers(4)
-        everyone = [one.id for one in servers]
+        everyone = [server.id for server in servers]
         named = placer.place("t0", _turn("s"), servers, None, 0)
         others = [name for name in everyone if name != named]
-        placer.settle("t0", TurnReport(failed=others), 1)
-        placer.settle("t0", TurnReport(failed=others), 2)
+        placer.finish("t0", TurnReport(failed=others), 1)
+        placer.finish("t0", TurnReport(failed=others), 2)
         chosen = {
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, 10)
             for n in range(1, 40)
@@ -146,49 +146,49 @@
         self.assertEqual(set(everyone), chosen)
 
     def test_implausible_speed_is_ignored(self) -> None:
-        """Guards against one gateway's figures that change all choices."""
+        """Guards against one gateway's false speeds that change all choices."""
         placer, servers = _placer(), _servers()
         for n in range(100):
             placer.place(f"t{n}", _turn("s"), servers, None, n)
             speed = EngineSpeed(1e9, -5.0, 1e9)
-            placer.settle(f"t{n}", TurnReport(speed=speed), n)
-        self.assertEqual(EngineSpeed(), placer.speed("models"))
+            placer.finish(f"t{n}", TurnReport(speed=speed), n)
+        self.assertEqual(EngineSpeed(), placer.reported_speed("models"))
 
     def test_new_leader_starts_without_placements(self) -> None:
         """Guards against counts of turns that ended under another leader."""
         placer, servers = _placer(), _servers()
         placer.place("t", _turn("s"), servers, None, 0)
         placer.reset()
-        self.assertEqual(0, placer.running)
+        self.assertEqual(0, placer.running_turns)
         self.assertTrue(placer.place("u", _turn("u"), servers, None, 1))
 
     def test_no_server_is_named_where_there_is_none(self) -> None:
-        """Guards against a name that no gateway knows."""
+        """Guards against naming a server that no gateway knows."""
         self.assertEqual("", _placer().place("t", _turn("s"), [], None, 0))
 
 
 class ManyServersTest(testtools.TestCase):
-    """A service of thousands of engines, as hundreds of gateways need."""
+    """A service of thousands of engines, as for hundreds of gateways."""
 
     def test_placement_compares_few_of_thousands(self) -> None:
-        """Guards against a leader that spends its time weighing servers."""
+        """Guards against a leader that spends its time on cost estimates."""
         placer, servers = _placer(), _servers(2_400)
-        weighed = _count_weighed(placer)
+        estimated = _record_estimates(placer)
         for n in range(50):
             placer.place(f"t{n}", _turn(f"s{n}"), servers, None, n)
-        self.assertLess(len(weighed), 50 * 50)
+        self.assertLess(len(estimated), 50 * 50)
 
     def test_turn_stays_with_its_prompt_among_thousands(self) -> None:
-        """Guards against sessions whose prompts are read again each turn."""
+        """Guards against sessions whose prompts are prefilled each turn."""
         placer, servers = _placer(), _servers(2_400)
         for n in range(50):
             first = placer.place(f"a{n}", _turn(f"s{n}"), servers, None, n)
-            placer.settle(f"a{n}", TurnReport(), n)
+            placer.finish(f"a{n}", TurnReport(), n)
             again = placer.place(f"b{n}", _turn(f"s{n}"), servers, None, n)
             self.assertEqual(first, again)
 
     def test_burst_spreads_among_thousands(self) -> None:
-        """Guards against queues at a few engines that hold shared prompts."""
+        """Guards against queues at few engines that cache shared prompts."""
         placer, servers = _placer(), _servers(2_400)
         counts: collections.Counter[str] = collections.Counter()
         for n in range(2_400):
@@ -197,15 +197,15 @@
         self.assertLessEqual(max(counts.values()), 6)
 
 
-def _count_weighed(placer: Placer) -> list[str]:
-    """Returns a list that grows by each server that is weighed."""
-    weighed: list[str] = []
+def _record_estimates(placer: Placer) -> list[str]:
+    """Returns a list to which each server is added when it is estimated."""
+    estimated: list[str] = []
     balancer = placer._balancer
-    weigh = balancer._weigh
+    estimate = balancer._estimate
 
-    def counted(instance: Instance, *args: Any) -> Any:
-        weighed.append(instance.id)
-        return weigh(instance, *args)
+    def recording(instance: Instance, *args: Any) -> Any:
+        estimated.append(instance.id)
+        return estimate(instance, *args)
 
-    setattr(balancer, "_weigh", counted)  # noqa: B010
-    return weighed
+    setattr(balancer, "_estimate", recording)  # noqa: B010
+    return estimated
