--- a/catkinpin/adapters/gateway/answers.py
+++ b/catkinpin/adapters/gateway/answers.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from catkinpin.adapters.gateway.headers import HeaderCodec
-    from catkinpin.adapters.gateway.view import ClusterView
+    from catkinpin.adapters.gateway.view import GatewayView
     from catkinpin.adapters.gateway.work import OpenCall
     from catkinpin.adapters.http.client import Head
     from catkinpin.adapters.http.server import Responder
@@ -33,7 +33,7 @@
     """
 
     def __init__(
-        self, view: ClusterView, codec: HeaderCodec, clock: Clock
+        self, view: GatewayView, codec: HeaderCodec, clock: Clock
     ) -> None:
         self._view = view
         self._codec = codec
--- a/catkinpin/adapters/gateway/context.py
+++ b/catkinpin/adapters/gateway/context.py
@@ -11,7 +11,7 @@
     from catkinpin.adapters.gateway.headers import HeaderCodec
     from catkinpin.adapters.gateway.turns import TurnClient
     from catkinpin.adapters.gateway.usage import UsageReporter
-    from catkinpin.adapters.gateway.view import ClusterView
+    from catkinpin.adapters.gateway.view import GatewayView
     from catkinpin.adapters.http.client import Pool
     from catkinpin.clock import Clock
     from catkinpin.core.placement.balance import Balancer
@@ -37,7 +37,7 @@
         domain: failure domain of this gateway.
     """
 
-    view: ClusterView
+    view: GatewayView
     balancer: Balancer
     speeds: Speeds
     pool: Pool
--- a/catkinpin/adapters/gateway/exchange.py
+++ b/catkinpin/adapters/gateway/exchange.py
@@ -202,7 +202,7 @@
         it would attract most requests while other servers have room; the
         symptom is an engine with few running requests and many answers of
         500. An engine is ejected after one such answer, because engines don't
-        fail because of a request. A plain service is ejected after two in a
+        fail at random. A plain service is ejected after two in a
         row, because a call may fail for reasons of its own.
         """
         if status < _MIN_SERVER_ERROR_STATUS:
--- a/catkinpin/adapters/gateway/process.py
+++ b/catkinpin/adapters/gateway/process.py
@@ -14,7 +14,7 @@
 from catkinpin.adapters.gateway.serving import RequestHandler
 from catkinpin.adapters.gateway.turns import TurnClient
 from catkinpin.adapters.gateway.usage import UsageReporter
-from catkinpin.adapters.gateway.view import ClusterView
+from catkinpin.adapters.gateway.view import GatewayView
 from catkinpin.adapters.http.client import Pool
 from catkinpin.adapters.http.server import HttpServer, ServerLimits
 from catkinpin.adapters.keeper.publisher import GATEWAY_ROLE
@@ -68,7 +68,7 @@
         self._balancer = Balancer(
             cfg.failure_domain, regions, random.Random(), speeds
         )
-        self.view = ClusterView(self.clock, self._on_server_gone)
+        self.view = GatewayView(self.clock, self._on_server_gone)
         self.keepers = keepers.Keepers(
             _make_hello(cfg),
             self._on_keeper_message,
@@ -96,7 +96,7 @@
                 domain=cfg.failure_domain,
             )
         )
-        self.server = HttpServer(self._handler.handle, self._limits)
+        self.server = HttpServer(self._handler.handle, self._caller_limits)
         self._readiness_server = HttpServer(self._answer_readiness)
         self._stopping = False
         self._last_connected_ms = self.clock.now_ms()
@@ -202,7 +202,7 @@
     def _count_gateways(self) -> int:
         return self.keepers.gateways() or self.cfg.gateways_expected
 
-    def _limits(self) -> ServerLimits:
+    def _caller_limits(self) -> ServerLimits:
         table = self.view.table
         if table is None:
             return ServerLimits()
--- a/catkinpin/adapters/gateway/routefetch.py
+++ b/catkinpin/adapters/gateway/routefetch.py
@@ -10,7 +10,7 @@
 from catkinpin.exceptions import PeerLostError
 
 if TYPE_CHECKING:
-    from catkinpin.adapters.gateway.view import ClusterView
+    from catkinpin.adapters.gateway.view import GatewayView
     from catkinpin.adapters.peers.keepers import Host, Keepers
 
 log = logging.getLogger(__name__)
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, keepers: Keepers, view: ClusterView, region: str
+        self, keepers: Keepers, view: GatewayView, region: str
     ) -> None:
         self._keepers = keepers
         self._view = view
--- a/catkinpin/adapters/gateway/streaming.py
+++ b/catkinpin/adapters/gateway/streaming.py
@@ -126,14 +126,14 @@
                 _LEADER_TIMEOUT_S, state.remaining_s * _LEADER_TIMEOUT_SHARE
             )
             began = await self._turns.begin(
-                state.call, state.route, wait_s, self._place_turn(state)
+                state.call, state.route, wait_s, self._placement_request(state)
             )
             if not isinstance(began, OverQuota):
                 return began
             if not await wait_for_quota(began.retry_ms, quota_deadline_s):
                 return began
 
-    def _place_turn(self, state: OpenCall) -> PlaceTurn | None:
+    def _placement_request(self, state: OpenCall) -> PlaceTurn | None:
         """Returns the request for a server; None for a plain service."""
         if state.service.engine is None:
             return None
--- a/catkinpin/adapters/gateway/usage.py
+++ b/catkinpin/adapters/gateway/usage.py
@@ -137,7 +137,8 @@
     def _is_share_used(self, account: ClientAccount, now_ms: int) -> bool:
         """Returns whether this gateway's share is used up in an outage.
 
-        Without a leader the requests of all gateways are not added up.
+        Without a leader nobody adds up the requests of all gateways, so each
+        gateway limits its own.
         """
         outage_ms = now_ms - self._last_report_ms
         unreported = self._pending.get(account.name)
--- a/catkinpin/adapters/gateway/view.py
+++ b/catkinpin/adapters/gateway/view.py
@@ -24,7 +24,7 @@
 _STARTUP_MS = 3_000
 
 
-class ClusterView:
+class GatewayView:
     """Routes, servers and quarantined requests, as the keepers announce them.
 
     Several keepers announce the same state, some later than others. Versions,
@@ -39,7 +39,7 @@
         table: the routes, None until they are known.
         fleet: the servers.
         quarantined: digests of requests that must not be sent to any server.
-        changed_ms: time of the latest change of the routes.
+        routes_changed_ms: time of the latest change of the routes.
     """
 
     def __init__(
@@ -156,7 +156,7 @@
     def _handle_servers(self, message: protocol.ServersUpdate) -> None:
         for update in message.instances:
             for changed in self.fleet.apply(update):
-                self._report_change(changed)
+                self._handle_change(changed)
         if not message.whole:
             self._servers_index = max(self._servers_index, message.index)
             return
@@ -169,7 +169,7 @@
                 self.fleet.drop(instance.id)
                 self._on_gone(instance)
 
-    def _report_change(self, changed: Instance) -> None:
+    def _handle_change(self, changed: Instance) -> None:
         decisions.note(
             "server",
             "",
--- a/tests/fakes/gatewaycase.py
+++ b/tests/fakes/gatewaycase.py
@@ -1,4 +1,4 @@
-"""A test case that plays before a gateway's serving."""
+"""A test case for coroutines that send requests to a gateway."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 import testtools
 
-from tests.fakes.gatewayrig import WAIT_S
+from tests.fakes.gatewayrig import TIME_LIMIT_S
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
 
 
 class GatewayCase(testtools.TestCase):
-    """Runs a play within a bounded time."""
+    """Runs coroutines with a time limit."""
 
-    def run_within_limit(self, work: Coroutine[Any, Any, None]) -> None:
+    def run_within_limit(self, coroutine: Coroutine[Any, Any, None]) -> None:
         async def bounded() -> None:
-            await asyncio.wait_for(work, WAIT_S)
+            await asyncio.wait_for(coroutine, TIME_LIMIT_S)
 
         asyncio.run(bounded())
--- a/tests/fakes/gatewayrig.py
+++ b/tests/fakes/gatewayrig.py
@@ -1,4 +1,4 @@
-"""A gateway's serving, with callers and servers that a test decides."""
+"""Runs a gateway's request handler with scripted callers and servers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     TurnResult,
 )
 from catkinpin.adapters.gateway.usage import UsageReporter
-from catkinpin.adapters.gateway.view import ClusterView
+from catkinpin.adapters.gateway.view import GatewayView
 from catkinpin.adapters.http.client import Pool
 from catkinpin.adapters.http.headers import Headers
 from catkinpin.adapters.http.server import HttpServer
@@ -50,10 +50,10 @@
 
     Answer = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
 
-WAIT_S = 8.0
+TIME_LIMIT_S = 8.0
 
 
-def _call(headers: Headers) -> RouteCall:
+def _decode_request(headers: Headers) -> RouteCall:
     return RouteCall(
         attempt=headers.get(b"Request-Id"),
         deadline_ms=int(headers.get(b"Deadline") or 0),
@@ -65,23 +65,23 @@
     )
 
 
-def _to_server(
-    headers: Headers, call: RouteCall, sending: ForwardingFields
+def _encode_for_server(
+    headers: Headers, call: RouteCall, fields: ForwardingFields
 ) -> Headers:
     hidden = {b"deadline", b"account"}
-    if sending.strips_key:
+    if fields.strips_key:
         hidden.add(b"key")
     out = headers.end_to_end(frozenset(hidden))
     if call.account:
         out.add(b"Account", call.account.encode())
-    out.add(b"Deadline", b"%d" % sending.left_ms)
-    out.add(b"Expect-Server", sending.server.encode())
-    if sending.resume_at:
-        out.add(b"Resume-At", sending.resume_at.encode())
+    out.add(b"Deadline", b"%d" % fields.left_ms)
+    out.add(b"Expect-Server", fields.server.encode())
+    if fields.resume_at:
+        out.add(b"Resume-At", fields.resume_at.encode())
     return out
 
 
-def _answer(headers: Headers) -> AnswerFacts:
+def _decode_answer(headers: Headers) -> AnswerFacts:
     return AnswerFacts(
         attempt=headers.get(b"Request-Id"),
         is_sealed=bool(headers.get(b"Sealed")),
@@ -90,7 +90,7 @@
     )
 
 
-def _refusal(attempt: str, retry_s: float) -> Headers:
+def _encode_refusal(attempt: str, retry_s: float) -> Headers:
     out = Headers([(b"Request-Id", attempt.encode())])
     if retry_s:
         out.add(b"Retry-After", b"%.2f" % retry_s)
@@ -98,21 +98,22 @@
 
 
 class ShiftedClock:
-    """The system's clock, put forward by `now` ms."""
+    """The system's clock, advanced by `shift_ms`."""
 
     def __init__(self) -> None:
-        self.now = 0
+        self.shift_ms = 0
 
     def clock(self) -> clock.Clock:
-        """Returns it as what the gateway's parts take."""
+        """Returns the clock in the form that the gateway takes."""
         system = clock.system_clock()
         return clock.Clock(
-            now_ms=lambda: system.now_ms() + self.now, wall_ms=system.wall_ms
+            now_ms=lambda: system.now_ms() + self.shift_ms,
+            wall_ms=system.wall_ms,
         )
 
 
 class FakeTurnClient:
-    """Stands in for the keepers: what it is asked and what it answers."""
+    """Fakes the requests to keepers: records them, returns set results."""
 
     def __init__(self) -> None:
         self.begin_result: StartedTurn | Denial | OverQuota | BeginFailed = (
@@ -146,17 +147,21 @@
 
 @dataclasses.dataclass
 class CallerResponse:
-    """What a caller got; `whole` is False where the answer broke off."""
+    """What a caller received.
+
+    Attributes:
+        is_complete: False if the connection broke off.
+    """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
     took_s: float
 
 
 class Rig:
-    """A gateway's serving before servers of the test's."""
+    """A gateway's request handler and the servers of a test."""
 
     def __init__(
         self,
@@ -170,8 +175,8 @@
         self.turns = FakeTurnClient()
         self.servers: list[RawServer] = []
         self.clock = ShiftedClock()
-        self.view = ClusterView(self.clock.clock(), lambda _: None)
-        told = {
+        self.view = GatewayView(self.clock.clock(), lambda _: None)
+        route_fields = {
             "name": "r",
             "host": "h",
             "prefix": "/x/",
@@ -196,7 +201,7 @@
         )
         routing = Routing(
             version=1,
-            routes=[Route(**told)],
+            routes=[Route(**route_fields)],
             services=[service],
             limits=CallerLimits(),
             accounts=accounts,
@@ -204,7 +209,9 @@
         self._routing = routing
         if knows_routes:
             self.publish_routes()
-        codec = HeaderCodec(_call, _to_server, _answer, _refusal)
+        codec = HeaderCodec(
+            _decode_request, _encode_for_server, _decode_answer, _encode_refusal
+        )
         self.speeds = Speeds()
         self.balancer = Balancer("a", {"a": "r"}, random.Random(1), self.speeds)
         self.usage = UsageReporter(
@@ -228,12 +235,12 @@
         self.address = ""
 
     def publish_routes(self) -> None:
-        """Tells the gateway its routes, as the newest."""
+        """Gives the gateway its routes, marked as current."""
         self.view.replace_routes(self._routing)
         self.view.handle(protocol.RoutingUpdate(version=1, is_current=True))
 
     def publish_accounts(self, accounts: list[ClientAccount]) -> None:
-        """Tells the gateway other accounts, as the newest."""
+        """Gives the gateway other accounts, as a newer version."""
         version = self._routing.version + 1
         self._routing = structs.replace(
             self._routing, version=version, accounts=accounts
@@ -246,10 +253,10 @@
             server = RawServer(answer)
             await server.start()
             self.servers.append(server)
-            told = instance(
+            announced = instance(
                 f"s{number}", service="s", address=server.address, slots=4
             )
-            self.view.fleet.apply(told)
+            self.view.fleet.apply(announced)
 
     async def stop(self) -> None:
         await self.http.stop()
@@ -263,26 +270,28 @@
     async def ask(
         self, name: str = "q1", body: bytes = b"in", **headers: str
     ) -> CallerResponse:
-        """Sends a request as a caller does."""
+        """Sends a request as a caller does and returns the response."""
         loop = asyncio.get_running_loop()
-        start = loop.time()
+        sent_s = loop.time()
         host, port = self.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         lines = ["POST /x/y?z=1 HTTP/1.1", "Host: h", f"Request-Id: {name}"]
         lines += [f"{k}: {v}" for k, v in headers.items()]
         lines += [f"Content-Length: {len(body)}", "Connection: close", "", ""]
         writer.write("\r\n".join(lines).encode() + body)
-        data, whole = b"", True
+        data, is_complete = b"", True
         try:
             while part := await reader.read(65_536):
                 data += part
         except ConnectionError:
-            whole = False
+            is_complete = False
         writer.close()
-        return _parsed(data, whole, loop.time() - start)
+        return _parse_response(data, is_complete, loop.time() - sent_s)
 
 
-def _parsed(data: bytes, whole: bool, took_s: float) -> CallerResponse:
+def _parse_response(
+    data: bytes, is_complete: bool, took_s: float
+) -> CallerResponse:
     head, _, body = data.partition(b"\r\n\r\n")
     if not head:
         return CallerResponse(0, {}, b"", False, took_s)
@@ -292,12 +301,14 @@
         name, _, value = line.partition(": ")
         headers[name.lower()] = value
     if headers.get("transfer-encoding") == "chunked":
-        body, ended = _unchunk(body)
-        whole = whole and ended
-    return CallerResponse(int(first.split()[1]), headers, body, whole, took_s)
+        body, has_end = _decode_chunks(body)
+        is_complete = is_complete and has_end
+    return CallerResponse(
+        int(first.split()[1]), headers, body, is_complete, took_s
+    )
 
 
-def _unchunk(data: bytes) -> tuple[bytes, bool]:
+def _decode_chunks(data: bytes) -> tuple[bytes, bool]:
     out = b""
     while data:
         size, _, rest = data.partition(b"\r\n")
@@ -310,35 +321,35 @@
 
 
 async def answer_ok(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Answers as it should."""
+    """Answers with 200."""
     writer.write(sealed(seen, b"fine"))
 
 
 async def refuse_full(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Refuses, as not run."""
+    """Refuses with 503 and states that the request was not run."""
     status = "503 Service Unavailable"
     writer.write(sealed(seen, b"", status, Not_Run="1"))
 
 
 async def abort_connection(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Breaks the connection off."""
+    """Aborts the connection."""
     writer.transport.abort()
 
 
 async def never_answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """Never answers."""
-    await asyncio.sleep(WAIT_S)
+    await asyncio.sleep(TIME_LIMIT_S)
 
 
 def encode_events(first: int, last: int) -> bytes:
-    """Returns the events of these numbers."""
+    """Returns the encoded events with these numbers."""
     return b"".join(
         b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(first, last + 1)
     )
 
 
 def encode_stream(seen: Seen, *parts: bytes, end: bool = True) -> bytes:
-    """Returns an answer of such parts, without its end where `end` is not."""
+    """Returns a chunked answer; without the final chunk unless `end`."""
     name = seen.headers["request-id"]
     head = (
         f"HTTP/1.1 200 OK\r\nRequest-Id: {name}\r\nSealed: yes\r\n"
@@ -349,5 +360,5 @@
 
 
 async def stream_events(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Streams three events and ends."""
+    """Streams three events, then ends."""
     writer.write(encode_stream(seen, encode_events(1, 3)))
--- a/tests/fakes/instances.py
+++ b/tests/fakes/instances.py
@@ -1,4 +1,4 @@
-"""Backend servers as they announce themselves, for tests of decisions."""
+"""Announcements of backend servers, for tests."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def instance(name: str = "s1", **changes: Any) -> Instance:
-    """Returns a server that is ready, with some of its fields changed."""
-    plain = Instance(
+    """Returns a ready server, with some of its fields changed."""
+    default = Instance(
         id=name,
         service="models",
         address=f"{name}:80",
@@ -21,4 +21,4 @@
         sequence=1,
         slots=12,
     )
-    return msgspec.structs.replace(plain, **changes)
+    return msgspec.structs.replace(default, **changes)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway between callers and servers that fail in every way."""
+"""Plain requests through a gateway, with failing servers and callers."""
 
 from __future__ import annotations
 
@@ -27,54 +27,56 @@
 
 
 class PlainTest(GatewayCase):
-    """Requests that are answered as a whole."""
+    """Requests that get one complete answer."""
 
     def test_request_that_comes_before_the_routes_is_served(self) -> None:
-        """Everything was restarted; callers are back before a leader is.
+        """Guards against refusing requests that arrive just after a restart.
 
-        A gateway that refuses them has them come back later, or give up.
+        All processes were restarted and no leader is elected yet. Refused
+        callers would retry later or give up.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, knows_routes=False)
             await rig.start(answer_ok)
-            asking = asyncio.ensure_future(rig.ask(Deadline="1000"))
+            response = asyncio.ensure_future(rig.ask(Deadline="1000"))
             await asyncio.sleep(0.15)
-            self.assertFalse(asking.done())
+            self.assertFalse(response.done())
             rig.publish_routes()
-            got = await asking
+            got = await response
             self.assertEqual(200, got.status)
             self.assertLess(got.took_s, 0.35)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_gateway_that_never_learns_its_routes_refuses_in_time(self) -> None:
-        """A gateway comes up cut off from all keepers.
+        """Guards against holding callers that this gateway can't serve.
 
-        Its callers are told to go elsewhere, with most of their time left;
-        once it has been up for long they are told at once.
+        A gateway starts without a link to any keeper. It refuses callers while
+        most of their time is left, and immediately once it has been up for
+        long.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, knows_routes=False)
             await rig.start(answer_ok)
             got = await rig.ask(Deadline="500")
             self.assertEqual(503, got.status)
             self.assertLess(got.took_s, 0.35)
-            rig.clock.now += 5_000
+            rig.clock.shift_ms += 5_000
             got = await rig.ask(Deadline="500")
             self.assertEqual(503, got.status)
             self.assertLess(got.took_s, 0.1)
             self.assertEqual(0, rig.count_server_requests())
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_request_and_answer_pass_unchanged(self) -> None:
-        """A tool call on a good day; nothing of it is rewritten."""
+        """Guards against altering a request or its answer."""
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(answer_ok)
             got = await rig.ask(body=b"\x00raw", Deadline="900")
@@ -87,15 +89,16 @@
             self.assertLessEqual(int(seen.headers["deadline"]), 900)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_non_idempotent_request_is_never_sent_twice(self) -> None:
-        """A server breaks off what it may have run: a payment, say.
+        """Guards against running a request twice, such as a payment.
 
-        Sent to another server, a customer would be charged twice.
+        A server aborts the connection of a request that it may have run. A
+        second server would charge the customer again.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(abort_connection, abort_connection)
             got = await rig.ask()
@@ -104,27 +107,27 @@
             self.assertEqual(1, rig.count_server_requests())
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_refused_request_goes_to_the_next_server(self) -> None:
-        """A server is full and says that it ran nothing.
+        """Guards against refusing a request while other servers are idle.
 
-        Given up on there, a customer would be sent away beside idle servers.
+        A server is full and states that it did not run the request.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(refuse_full, refuse_full, answer_ok)
             got = await rig.ask()
             self.assertEqual((200, b"fine"), (got.status, got.body))
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_all_servers_full_is_refused_at_once_as_not_run(self) -> None:
-        """No server has room; the caller is told when to come back."""
+        """Guards against late or unhelpful refusals if no server has room."""
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(refuse_full, refuse_full)
             got = await rig.ask()
@@ -133,30 +136,30 @@
             self.assertLess(got.took_s, 0.5)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_idempotent_request_is_asked_again_elsewhere(self) -> None:
-        """One server dies, or runs the request and its answer is lost."""
+        """Guards against errors if one server aborts or never answers."""
 
-        async def work() -> None:
-            for bad in (abort_connection, never_answer):
+        async def scenario() -> None:
+            for failing_server in (abort_connection, never_answer):
                 rig = Rig(RouteKind.IDEMPOTENT)
-                await rig.start(bad, answer_ok)
+                await rig.start(failing_server, answer_ok)
                 for number in range(4):
                     got = await rig.ask(f"q{number}")
                     self.assertEqual((200, b"fine"), (got.status, got.body))
                 await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_no_more_servers_run_a_request_than_its_route_allows(self) -> None:
-        """Every server runs the request and breaks off, time after time.
+        """Guards against retrying a request on every server.
 
-        Asked one after the other, all of them would do the same work at once
-        in the worst minute.
+        Each server runs the request and then aborts the connection. Without a
+        limit all servers would do the same scenario at once during an overload.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             for kind in (RouteKind.IDEMPOTENT, RouteKind.STREAM):
                 rig = Rig(kind, resumable=True, max_attempts=2)
                 await rig.start(
@@ -170,46 +173,48 @@
                 self.assertEqual(2, rig.count_server_requests(), kind)
                 await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_answer_without_a_seal_is_no_success(self) -> None:
-        """Something answers 200 that is not the server's own answer."""
+        """Guards against forwarding a 200 that the server did not seal."""
 
-        async def unsealed(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answer_unsealed(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(sealed(seen, b"forged", Sealed=""))
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(unsealed)
+            await rig.start(answer_unsealed)
             got = await rig.ask()
             self.assertEqual((502, b""), (got.status, got.body))
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_promise_that_no_server_made_is_not_passed_on(self) -> None:
-        """A server ran the request and answers 503 without saying 'not run'.
+        """Guards against a status that lets a caller repeat what has run.
 
-        Passed on, the status would let the caller repeat what has run.
+        A server ran the request and answers 503 without the not-run header.
         """
 
-        async def busy(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answer_503(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(sealed(seen, b"", "503 Service Unavailable"))
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(busy)
+            await rig.start(answer_503)
             got = await rig.ask()
             self.assertEqual(502, got.status)
             self.assertNotIn("sealed", got.headers)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_silent_server_costs_no_more_than_the_deadline(self) -> None:
-        """A server takes a request and never answers."""
+        """Guards against waiting past the deadline for a silent server."""
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(never_answer)
             got = await rig.ask(Deadline="300")
@@ -217,15 +222,16 @@
             self.assertLess(got.took_s, 0.6)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_stopping_gateway_refuses_what_comes_late(self) -> None:
-        """Most hosts of a failure domain stop; the balancer sends on to all.
+        """Guards against accepting requests that the stop would abort.
 
-        Taken seconds after the order to stop, a request is cut off at the end.
+        Most hosts of a failure domain stop while the load balancer still sends
+        them requests, seconds after the order to stop.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(answer_ok)
             rig.handler.stop_deadline_s = (
@@ -236,16 +242,17 @@
             self.assertEqual(0, rig.count_server_requests())
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_stopping_gateway_serves_what_ends_in_time(self) -> None:
-        """A caller's open connection outlives the order to stop by seconds.
+        """Guards against refusing requests that would end before the stop.
 
-        Refused, its request would cost it a try, though the gateway goes on
-        for ten times as long as such a request takes.
+        A caller's open connection outlives the order to stop by seconds. A
+        refusal would cost an attempt, though the gateway keeps running for ten
+        times as long as such a request takes.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(answer_ok)
             rig.handler.stop_deadline_s = (
@@ -256,45 +263,49 @@
             self.assertEqual(1, rig.count_server_requests())
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_caller_that_leaves_frees_its_server(self) -> None:
-        """A caller goes away; its server would work on for nobody."""
+        """Guards against servers that keep working for a caller that left."""
         closed = asyncio.Event()
 
-        async def watch(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def wait_for_close(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             assert seen.reader is not None
             await seen.reader.read()
             closed.set()
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
-            await rig.start(watch)
-            asking = asyncio.ensure_future(rig.ask())
+            await rig.start(wait_for_close)
+            response = asyncio.ensure_future(rig.ask())
             while not rig.count_server_requests():
                 await asyncio.sleep(0.01)
-            asking.cancel()
+            response.cancel()
             for connection in list(rig.http.connections):
                 connection.abort()
             await asyncio.wait_for(closed.wait(), 0.5)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_crash_is_reported_and_quarantined_content_refused(self) -> None:
-        """A request crashes whatever server runs it, and comes again.
+        """Guards against a request that crashes one server after another.
 
-        Under a new id it looks like any other, and costs a server each time.
+        Each retry has a new id, so only its content identifies the request.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
 
-            async def crash(seen: Seen, writer: asyncio.StreamWriter) -> None:
+            async def crash_server(
+                seen: Seen, writer: asyncio.StreamWriter
+            ) -> None:
                 await rig.servers[0].stop()
                 writer.transport.abort()
 
-            await rig.start(crash)
+            await rig.start(crash_server)
             await rig.ask("q1", body=b"poison")
             while not rig.turns.crashes:
                 await asyncio.sleep(0.01)
@@ -305,15 +316,15 @@
             self.assertEqual(1, rig.count_server_requests())
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_break_without_a_crash_is_no_strike(self) -> None:
-        """A connection is reset, but its server lives on.
+        """Guards against quarantining requests after a mere reset.
 
-        Counted as a crash, innocent requests would be quarantined.
+        A connection is reset while its server keeps running.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
             await rig.start(abort_connection)
             await rig.ask()
@@ -321,4 +332,4 @@
             self.assertEqual([], rig.turns.crashes)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from catkinpin import clock, codec
-from catkinpin.adapters.gateway.view import ClusterView
+from catkinpin.adapters.gateway.view import GatewayView
 from catkinpin.adapters.keeper.serverupdates import ServerUpdates
 from catkinpin.adapters.peers.streams import Stream
 from catkinpin.core.control import protocol, servers, state
@@ -66,8 +66,8 @@
 
         asyncio.run(main())
 
-    def _view(self, raws: list[Any]) -> ClusterView:
-        view = ClusterView(clock.system_clock(), lambda _: None)
+    def _view(self, raws: list[Any]) -> GatewayView:
+        view = GatewayView(clock.system_clock(), lambda _: None)
         for raw in raws:
             view.handle(_decoder.decode(raw))
         return view
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Streams through a gateway: turns, resumption, servers that fail."""
+"""Streams through a gateway: turns, resumption and failing servers."""
 
 from __future__ import annotations
 
@@ -31,72 +31,78 @@
     """Turns and other streams."""
 
     def test_turn_ends_only_once_it_lasts(self) -> None:
-        """The keepers take a moment to store a turn.
+        """Guards against ending a turn before it is stored.
 
-        Ended before, the caller would build its next turn on one that a loss
-        of power can still take.
+        Storing takes a moment. If the answer ended earlier, the caller could
+        continue a turn that a power failure can still lose.
         """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.STREAM, keeps_history=True)
             await rig.start(stream_events)
             rig.turns.begin_result = StartedTurn(
                 b"before ", ProgramStatus(), ""
             )
             rig.turns.finishing.clear()
-            asking = asyncio.ensure_future(rig.ask(Program="p"))
+            response = asyncio.ensure_future(rig.ask(Program="p"))
             while not rig.turns.finished:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.05)
-            self.assertFalse(asking.done())
+            self.assertFalse(response.done())
             rig.turns.finishing.set()
-            got = await asking
-            self.assertTrue(got.whole)
+            got = await response
+            self.assertTrue(got.is_complete)
             self.assertEqual(encode_events(1, 3), got.body)
             self.assertEqual(b"before in", rig.servers[0].seen[0].body)
             self.assertEqual([b"ine1\ne2\ne3\n"], rig.turns.finished)
             self.assertEqual([], rig.turns.settled)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_engine_that_fails_at_once_draws_no_turns(self) -> None:
-        """An engine answers each turn with 500 after a ms, and so seems idle.
+        """Guards against sending turns to an engine that always fails.
 
-        Its callers ask again and again; most turns went there, and programs
-        failed while the other engine had room.
+        It answers each turn with 500 after a ms and so looks idle. Callers
+        retried, most turns went to that engine, and programs failed while the
+        other engine had room.
         """
 
-        async def fails(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answer_500(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(sealed(seen, b"", "500 Failed"))
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.STREAM, max_attempts=1)
-            await rig.start(fails, stream_events)
+            await rig.start(answer_500, stream_events)
             statuses = [(await rig.ask(f"q{n}")).status for n in range(12)]
             self.assertLessEqual(statuses.count(500), 1)
-            rig.clock.now += 500
+            rig.clock.shift_ms += 500
             statuses = [(await rig.ask(f"r{n}")).status for n in range(12)]
             self.assertLessEqual(statuses.count(500), 1)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_call_that_fails_for_its_own_reasons_ejects_no_server(
         self,
     ) -> None:
-        """Now and then a tool answers 500 to a call that is wrong itself."""
+        """Guards against ejecting a tool for calls that are themselves wrong.
+
+        A tool answers 500 to every other call.
+        """
         count = 0
 
-        async def some_fail(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def fail_every_other(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             nonlocal count
             count += 1
             status = "500 Failed" if count % 2 else "200 OK"
             writer.write(sealed(seen, b"x", status))
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, has_engine=False)
-            await rig.start(some_fail)
+            await rig.start(fail_every_other)
             for number in range(8):
                 await rig.ask(f"q{number}")
             balancer = rig.balancer
@@ -105,25 +111,32 @@
             self.assertFalse(balancer._is_ejected(server, now_ms))
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_turn_that_was_not_stored_does_not_look_whole(self) -> None:
-        """No quorum is there at the end of a turn."""
+        """Guards against ending a stream normally if its turn was not stored.
 
-        async def work() -> None:
+        There is no quorum when the turn ends.
+        """
+
+        async def scenario() -> None:
             rig = Rig(RouteKind.STREAM, keeps_history=True)
             await rig.start(stream_events)
             rig.turns.finish_result = "no quorum"
             got = await rig.ask(Program="p")
-            self.assertFalse(got.whole)
+            self.assertFalse(got.is_complete)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_denied_turns_reach_no_server(self) -> None:
-        """The budget is spent, a turn doesn't exist, or nobody can tell."""
+        """Guards against running turns that the leader did not begin.
+
+        The budget is spent, the previous turn doesn't exist, or there is no
+        leader.
+        """
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.STREAM, keeps_history=True)
             await rig.start(stream_events)
             for begun, status in (
@@ -137,34 +150,44 @@
             self.assertEqual(0, rig.count_server_requests())
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_broken_stream_settles_what_the_caller_got(self) -> None:
-        """A server dies within a turn that may not be resumed."""
+        """Guards against settling a token count that the caller did not get.
+
+        A server crashes during a turn that may not be resumed.
+        """
 
-        async def half(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def abort_mid_event(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             part = encode_events(1, 2) + b"id: 3\nda"
             writer.write(encode_stream(seen, part, end=False))
             await writer.drain()
             await asyncio.sleep(0.02)
             writer.transport.abort()
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.STREAM, keeps_history=True)
-            await rig.start(half, half)
+            await rig.start(abort_mid_event, abort_mid_event)
             got = await rig.ask(Program="p")
-            self.assertFalse(got.whole)
+            self.assertFalse(got.is_complete)
             self.assertEqual(1, rig.count_server_requests())
-            # Two events of two tokens each; the third was never whole.
+            # Two events of two tokens each; the third was incomplete.
             self.assertEqual([4], rig.turns.settled)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_resumable_stream_goes_on_at_another_server(self) -> None:
-        """A server dies within an event; the caller sees each event once."""
+        """Guards against lost or repeated events when a stream is resumed.
+
+        A server crashes in the middle of an event.
+        """
 
-        async def first(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def abort_unless_resumed(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             if resumed := seen.headers.get("resume-at"):
                 writer.write(
                     encode_stream(seen, encode_events(int(resumed) + 1, 4))
@@ -176,41 +199,44 @@
             await asyncio.sleep(0.02)
             writer.transport.abort()
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(RouteKind.STREAM, resumable=True)
-            await rig.start(first, first)
+            await rig.start(abort_unless_resumed, abort_unless_resumed)
             got = await rig.ask()
-            self.assertTrue(got.whole)
+            self.assertTrue(got.is_complete)
             self.assertEqual(encode_events(1, 4), got.body)
             self.assertEqual(2, rig.count_server_requests())
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
 
     def test_silent_server_is_kept_where_no_other_may_be_asked(self) -> None:
-        """A full engine puts a turn back behind more urgent ones for 2 s.
+        """Guards against losing an answer that is only late.
 
-        Broken off, an answer that was only late would be lost.
+        A full engine defers a turn for 2 s in favor of more urgent ones, and
+        the route allows no further attempt.
         """
 
-        async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def pause_mid_stream(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(encode_stream(seen, encode_events(1, 1), end=False))
             await writer.drain()
             await asyncio.sleep(2.0)
             part = encode_events(2, 2)
             writer.write(b"%x\r\n%s\r\n0\r\n\r\n" % (len(part), part))
 
-        async def work() -> None:
+        async def scenario() -> None:
             rig = Rig(
                 RouteKind.STREAM,
                 resumable=True,
                 max_attempts=1,
                 timeout_ms=4_000,
             )
-            await rig.start(slow)
+            await rig.start(pause_mid_stream)
             got = await rig.ask()
-            self.assertTrue(got.whole)
+            self.assertTrue(got.is_complete)
             self.assertEqual(encode_events(1, 2), got.body)
             await rig.stop()
 
-        self.run_within_limit(work())
+        self.run_within_limit(scenario())
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""Storing turns' bytes while a holder is slow, without a network."""
+"""Storing the bytes of turns while a holder is slow, without a network."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
     from catkinpin.adapters.peers.keepers import Keepers
 
-# Well below what a turn waits for a slow holder before it asks another.
-_AT_ONCE_S = 0.1
+# Well below the time after which a turn asks another holder.
+_MAX_FAST_STORE_S = 0.1
 
 
-class _Holders:
-    """Stands in for the links to keepers and stores; `slow` never answers."""
+class _FakeHolders:
+    """Fakes the links to keepers and stores; the slow holder never answers."""
 
     leader = ""
     retiring: frozenset[str] = frozenset()
@@ -63,24 +63,25 @@
     """One of three holders has a disk that hangs."""
 
     def test_only_one_turn_waits_for_a_slow_holder(self) -> None:
-        """A store's disk turns slow for some seconds.
+        """Guards against turns that all wait for the same slow holder.
 
-        Two of three turns have a copy there, and each would end 150 ms later
-        until the disk is well again, with all that its program has to spare.
+        A store's disk is slow for some seconds. Two of three turns have a copy
+        there; each would end 150 ms later until the disk recovers, at the
+        expense of its program's slack.
         """
 
         async def main() -> None:
-            holders = _Holders("b")
+            holders = _FakeHolders("b")
             turns = TurnClient(cast("Keepers", holders), "r", 1_000, 2)
             loop = asyncio.get_running_loop()
-            slow = 0
+            slow_count = 0
             for number in range(9):
                 call = RouteCall(attempt=f"t{number}", program="p")
                 began_s = loop.time()
-                why = await turns.finish(call, b"bytes", TurnResult(1, "s"))
-                self.assertEqual("", why)
-                slow += loop.time() - began_s > _AT_ONCE_S
-            self.assertEqual(1, slow)
+                error = await turns.finish(call, b"bytes", TurnResult(1, "s"))
+                self.assertEqual("", error)
+                slow_count += loop.time() - began_s > _MAX_FAST_STORE_S
+            self.assertEqual(1, slow_count)
             self.assertEqual(1, holders.asked.count("b"))
 
         self.run_async(main())
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,11 +1,11 @@
-"""What a gateway believes of routes and servers, as keepers tell it."""
+"""A gateway's copy of the routes and servers that keepers announce."""
 
 from __future__ import annotations
 
 import testtools
 
 from catkinpin import clock
-from catkinpin.adapters.gateway.view import ClusterView
+from catkinpin.adapters.gateway.view import GatewayView
 from catkinpin.core.control import protocol
 from catkinpin.core.control.routes import CallerLimits, Routing
 from tests.fakes.instances import instance
@@ -18,17 +18,18 @@
 
 
 class RoutesTest(testtools.TestCase):
-    """A gateway that has just started, and keepers of which some lag."""
+    """A gateway that has just started, and keepers some of which lag."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.view = ClusterView(clock.system_clock(), lambda _: None)
+        self.view = GatewayView(clock.system_clock(), lambda _: None)
 
     def test_lagging_keeper_is_heard_first(self) -> None:
-        """The keeper that answers first was cut off and knows old routes.
+        """Guards against serving by the outdated routes of a lagging keeper.
 
-        By its word the gateway would refuse with 404 what is allowed by now,
-        or serve a route that was removed long ago.
+        The keeper that answers first was disconnected and has old routes. With
+        these the gateway would answer 404 for a route that exists by now, or
+        serve one that was removed long ago.
         """
         self.view.handle(protocol.RoutingUpdate(version=3, is_current=False))
         self.view.replace_routes(_routing(3))
@@ -39,13 +40,13 @@
         self.assertTrue(self.view.has_current_routes)
 
     def test_old_document_comes_late(self) -> None:
-        """Two keepers send two versions; the older one takes longer."""
+        """Guards against an older document that arrives after a newer one."""
         self.view.replace_routes(_routing(5))
         self.view.replace_routes(_routing(4))
         self.assertEqual(5, self.view.version)
 
     def test_newer_version_that_is_on_its_way_stops_nothing(self) -> None:
-        """Routes change; the document takes a while over the narrow link."""
+        """Guards against refusals while a newer document is being fetched."""
         self.view.replace_routes(_routing(5))
         self.view.handle(protocol.RoutingUpdate(version=5, is_current=True))
         self.view.handle(protocol.RoutingUpdate(version=6, is_current=True))
@@ -53,13 +54,13 @@
 
 
 class ServersTest(testtools.TestCase):
-    """Servers that one keeper has forgotten and another not yet."""
+    """Servers that one keeper has removed and another has not yet."""
 
     def test_whole_list_of_a_lagging_keeper_takes_no_server_away(self) -> None:
-        """A keeper that lags lists servers as they were a while ago."""
+        """Guards against removing servers by an outdated list of a keeper."""
         gone: list[str] = []
-        view = ClusterView(
-            clock.system_clock(), lambda one: gone.append(one.id)
+        view = GatewayView(
+            clock.system_clock(), lambda server: gone.append(server.id)
         )
         new, old = [instance("a"), instance("b")], [instance("a")]
         view.handle(protocol.ServersUpdate(index=9, instances=new, whole=True))
