--- a/catkinpin/adapters/gateway/turns.py
+++ b/catkinpin/adapters/gateway/turns.py
@@ -30,8 +30,8 @@
 # one. Several times a disk sync plus the round trip to the other region.
 _SLOW_STORE_S = 0.15
 _STORE_TIMEOUT_S = 1.5
-# A slow holder is ranked last in its region for this long. After that one turn
-# tries it again; without the limit every turn would wait for it.
+# A slow holder is ranked last in its region for this long. So only one turn per
+# period waits for it, which shows whether it is still slow.
 _SLOW_HOLDER_S = 2.0
 # Timeout for reading the bytes of a chain from one holder.
 _FETCH_TIMEOUT_S = 0.6
