--- a/catkinpin/adapters/gateway/crashes.py
+++ b/catkinpin/adapters/gateway/crashes.py
@@ -5,7 +5,7 @@
 import hashlib
 from typing import TYPE_CHECKING
 
-from catkinpin.adapters.tasks import Tasks
+from catkinpin.adapters.tasks import BackgroundTasks
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -48,15 +48,15 @@
         is_reachable: Callable[[OpenCall, Choice], Awaitable[bool]],
     ) -> None:
         self._turns = turns
-        self._is_alive = is_reachable
-        self._tasks = Tasks()
+        self._is_reachable = is_reachable
+        self._tasks = BackgroundTasks()
 
     def check_server(self, state: OpenCall, choice: Choice) -> None:
         """Reports a server that broke off, if it can't be reached any more."""
         self._tasks.spawn(self._report_if_down(state, choice))
 
     async def _report_if_down(self, state: OpenCall, choice: Choice) -> None:
-        if await self._is_alive(state, choice):
+        if await self._is_reachable(state, choice):
             return
         instance = choice.instance
         incarnation = f"{instance.id}/{instance.started_ms}"
--- a/catkinpin/adapters/gateway/process.py
+++ b/catkinpin/adapters/gateway/process.py
@@ -153,7 +153,7 @@
             task.cancel()
         await self.keepers.stop()
 
-    def reconfigured(self, seeds: list[str]) -> None:
+    def set_seeds(self, seeds: list[str]) -> None:
         """Applies changed seeds while the gateway runs."""
         decisions.note("reload", "", seeds=seeds)
         self.keepers.add(seeds)
@@ -200,7 +200,7 @@
         responder.answer(503 if self.not_ready_reason() else 200)
 
     def _count_gateways(self) -> int:
-        return self.keepers.gateways() or self.cfg.gateways_expected
+        return self.keepers.gateway_count() or self.cfg.gateways_expected
 
     def _caller_limits(self) -> ServerLimits:
         table = self.view.table
--- a/catkinpin/adapters/gateway/turns.py
+++ b/catkinpin/adapters/gateway/turns.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from catkinpin import decisions
-from catkinpin.adapters.tasks import Tasks
+from catkinpin.adapters.tasks import BackgroundTasks
 from catkinpin.core.control import copies, protocol
 from catkinpin.core.control.ledger import Begin, Denial, Finish
 from catkinpin.core.placement.placer import PlaceTurn, TurnReport
@@ -145,7 +145,7 @@
         self._keepers = keepers
         self._region = region
         self._cache = _Cache(cache_bytes)
-        self._tasks = Tasks()
+        self._tasks = BackgroundTasks()
         self._rotation = 0
         # For each slow holder the loop time until which it is ranked last.
         self._slow_until_s: dict[str, float] = {}
