--- a/catkinpin/adapters/gateway/crashes.py
+++ b/catkinpin/adapters/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash servers: their digest, and crash reports."""
+"""Digests of requests, and reports of servers that crashed on them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from catkinpin.adapters.gateway.turns import Turns
-    from catkinpin.adapters.gateway.work import Work
+    from catkinpin.adapters.gateway.turns import TurnClient
+    from catkinpin.adapters.gateway.work import OpenCall
     from catkinpin.adapters.http.server import Request
     from catkinpin.core.placement.balance import Choice
     from catkinpin.core.requests.calls import RouteCall
@@ -19,11 +19,12 @@
 _DIGEST_BYTES = 16
 
 
-def digest_of(request: Request, call: RouteCall) -> str:
-    """Returns what a request is known by when it comes again.
+def content_digest(request: Request, call: RouteCall) -> str:
+    """Returns a digest that is equal when the request is sent again.
 
-    Its id is another one then. A request without a body is told apart by its
-    program as well: many share its path, and are not at fault.
+    The digest leaves out the request's id, which is new each time. That of a
+    request without a body includes its program: many programs request the
+    same path, and those that don't crash servers must not be quarantined.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     parts = [request.method, request.target, call.affinity.encode()]
@@ -33,31 +34,31 @@
     return digest.hexdigest()
 
 
-class Crashes:
+class CrashReporter:
     """Reports servers that crashed while they ran a request.
 
     Args:
         turns: sends the reports.
-        is_alive: asks whether the server of a choice can still be reached.
+        is_alive: returns whether the chosen server can still be reached.
     """
 
     def __init__(
         self,
-        turns: Turns,
-        is_alive: Callable[[Work, Choice], Awaitable[bool]],
+        turns: TurnClient,
+        is_reachable: Callable[[OpenCall, Choice], Awaitable[bool]],
     ) -> None:
         self._turns = turns
-        self._is_alive = is_alive
+        self._is_reachable = is_reachable
         self._tasks = BackgroundTasks()
 
-    def suspect(self, work: Work, choice: Choice) -> None:
-        """Looks whether a server that broke off has ended; reports it then."""
-        self._tasks.spawn(self._report(work, choice))
+    def check_server(self, state: OpenCall, choice: Choice) -> None:
+        """Reports a server that broke off, if it can't be reached any more."""
+        self._tasks.spawn(self._report_if_down(state, choice))
 
-    async def _report(self, work: Work, choice: Choice) -> None:
-        if await self._is_alive(work, choice):
+    async def _report_if_down(self, state: OpenCall, choice: Choice) -> None:
+        if await self._is_reachable(state, choice):
             return
         instance = choice.instance
         incarnation = f"{instance.id}/{instance.started_ms}"
-        content = digest_of(work.request, work.call)
+        content = content_digest(state.request, state.call)
         await self._turns.report_crash(content, incarnation)
--- a/catkinpin/adapters/gateway/headers.py
+++ b/catkinpin/adapters/gateway/headers.py
@@ -1,4 +1,4 @@
-"""What a gateway needs from whoever knows its callers' and servers' headers."""
+"""Interface between a gateway and the header formats of a platform."""
 
 from __future__ import annotations
 
@@ -13,37 +13,38 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Sending:
-    """What a gateway sends to a server besides the caller's headers.
+class ForwardingFields:
+    """Values that a gateway adds to the caller's headers for a server.
 
     Attributes:
-        server: id of the server that is meant; another must refuse.
-        left_ms: how long the answer is waited for.
-        resume_at: last event that the caller has; empty: from the start.
+        server: id of the intended server; any other must refuse the request.
+        left_ms: time until the gateway stops waiting for the answer.
+        resume_at: id of the last event that the caller has received; empty to
+            stream from the start.
         urgency: 0 is the most urgent, 9 the least.
-        hides_key: whether the caller's API key is taken off.
+        strips_key: whether the caller's API key is removed.
     """
 
     server: str
     left_ms: int
     resume_at: str = ""
     urgency: int = 5
-    hides_key: bool = False
+    strips_key: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class HeaderCodec:
-    """Translates headers.
+    """Decodes and encodes the headers of a platform.
 
     Attributes:
-        call: decodes a caller's request.
-        to_server: returns the fields that a server gets.
-        answer: decodes a server's answer.
-        refusal: returns the fields of an answer of our own, from the request's
-            id and after how many seconds to come back; 0: not said.
+        decode_request: decodes the headers of a caller's request.
+        encode_for_server: returns the headers of a request to a server.
+        decode_answer: decodes the headers of a server's answer.
+        encode_refusal: returns the headers of a refusal by the gateway, given
+            the request's id and the retry time in s; 0 for none.
     """
 
-    call: Callable[[Headers], RouteCall]
-    to_server: Callable[[Headers, RouteCall, Sending], Headers]
-    answer: Callable[[Headers], AnswerFacts]
-    refusal: Callable[[str, float], Headers]
+    decode_request: Callable[[Headers], RouteCall]
+    encode_for_server: Callable[[Headers, RouteCall, ForwardingFields], Headers]
+    decode_answer: Callable[[Headers], AnswerFacts]
+    encode_refusal: Callable[[str, float], Headers]
--- a/tests/fakes/gatewayrig.py
+++ b/tests/fakes/gatewayrig.py
@@ -1,4 +1,4 @@
-"""A gateway's serving, with callers and servers that a test decides."""
+"""Runs a gateway's request handler with scripted callers and servers."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from msgspec import structs
 
 from catkinpin import clock
-from catkinpin.adapters.gateway.context import Parts
-from catkinpin.adapters.gateway.headers import HeaderCodec, Sending
-from catkinpin.adapters.gateway.serving import Serving
+from catkinpin.adapters.gateway.context import GatewayContext
+from catkinpin.adapters.gateway.headers import ForwardingFields, HeaderCodec
+from catkinpin.adapters.gateway.serving import RequestHandler
 from catkinpin.adapters.gateway.turns import (
+    BeginFailed,
     OverQuota,
-    Started,
+    StartedTurn,
     TurnResult,
-    Unknown,
 )
-from catkinpin.adapters.gateway.usage import Usage
-from catkinpin.adapters.gateway.view import View
+from catkinpin.adapters.gateway.usage import UsageReporter
+from catkinpin.adapters.gateway.view import GatewayView
 from catkinpin.adapters.http.client import Pool
 from catkinpin.adapters.http.headers import Headers
 from catkinpin.adapters.http.server import HttpServer
@@ -50,10 +50,10 @@
 
     Answer = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
 
-WAIT_S = 8.0
+TIME_LIMIT_S = 8.0
 
 
-def _call(headers: Headers) -> RouteCall:
+def _decode_request(headers: Headers) -> RouteCall:
     return RouteCall(
         attempt=headers.get(b"Request-Id"),
         deadline_ms=int(headers.get(b"Deadline") or 0),
@@ -65,21 +65,23 @@
     )
 
 
-def _to_server(headers: Headers, call: RouteCall, sending: Sending) -> Headers:
+def _encode_for_server(
+    headers: Headers, call: RouteCall, fields: ForwardingFields
+) -> Headers:
     hidden = {b"deadline", b"account"}
-    if sending.hides_key:
+    if fields.strips_key:
         hidden.add(b"key")
     out = headers.end_to_end(frozenset(hidden))
     if call.account:
         out.add(b"Account", call.account.encode())
-    out.add(b"Deadline", b"%d" % sending.left_ms)
-    out.add(b"Expect-Server", sending.server.encode())
-    if sending.resume_at:
-        out.add(b"Resume-At", sending.resume_at.encode())
+    out.add(b"Deadline", b"%d" % fields.left_ms)
+    out.add(b"Expect-Server", fields.server.encode())
+    if fields.resume_at:
+        out.add(b"Resume-At", fields.resume_at.encode())
     return out
 
 
-def _answer(headers: Headers) -> AnswerFacts:
+def _decode_answer(headers: Headers) -> AnswerFacts:
     return AnswerFacts(
         attempt=headers.get(b"Request-Id"),
         is_sealed=bool(headers.get(b"Sealed")),
@@ -88,7 +90,7 @@
     )
 
 
-def _refusal(attempt: str, retry_s: float) -> Headers:
+def _encode_refusal(attempt: str, retry_s: float) -> Headers:
     out = Headers([(b"Request-Id", attempt.encode())])
     if retry_s:
         out.add(b"Retry-After", b"%.2f" % retry_s)
@@ -96,63 +98,70 @@
 
 
 class ShiftedClock:
-    """The system's clock, put forward by `now` ms."""
+    """The system's clock, advanced by `shift_ms`."""
 
     def __init__(self) -> None:
-        self.now = 0
+        self.shift_ms = 0
 
     def clock(self) -> clock.Clock:
-        """Returns it as what the gateway's parts take."""
+        """Returns the clock in the form that the gateway takes."""
         system = clock.system_clock()
         return clock.Clock(
-            now_ms=lambda: system.now_ms() + self.now, wall_ms=system.wall_ms
+            now_ms=lambda: system.now_ms() + self.shift_ms,
+            wall_ms=system.wall_ms,
         )
 
 
-class Turns:
-    """Stands in for the keepers: what it is asked and what it answers."""
+class FakeTurnClient:
+    """Fakes the requests to keepers: records them, returns set results."""
 
     def __init__(self) -> None:
-        self.begin_with: Started | Denial | OverQuota | Unknown = Started(
-            b"", ProgramStatus(), ""
+        self.begin_result: StartedTurn | Denial | OverQuota | BeginFailed = (
+            StartedTurn(b"", ProgramStatus(), "")
         )
-        self.finish_with = ""
+        self.finish_result = ""
         self.finished: list[bytes] = []
         self.settled: list[int] = []
         self.crashes: list[tuple[str, str]] = []
         self.finishing = asyncio.Event()
         self.finishing.set()
 
-    async def begin(self, *_: object) -> Started | Denial | OverQuota | Unknown:
-        return self.begin_with
+    async def begin(
+        self, *_: object
+    ) -> StartedTurn | Denial | OverQuota | BeginFailed:
+        return self.begin_result
 
     async def finish(
-        self, call: RouteCall, data: bytes, ran: TurnResult
+        self, call: RouteCall, data: bytes, outcome: TurnResult
     ) -> str:
         self.finished.append(data)
         await self.finishing.wait()
-        return self.finish_with
+        return self.finish_result
 
-    def settle(self, call: RouteCall, ran: TurnResult) -> None:
-        self.settled.append(ran.tokens)
+    def settle(self, call: RouteCall, outcome: TurnResult) -> None:
+        self.settled.append(outcome.tokens)
 
     async def report_crash(self, content: str, server: str) -> None:
         self.crashes.append((content, server))
 
 
 @dataclasses.dataclass
-class Answered:
-    """What a caller got; `whole` is False where the answer broke off."""
+class CallerResponse:
+    """What a caller received.
+
+    Attributes:
+        is_complete: False if the connection broke off.
+    """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
     took_s: float
 
 
 class Rig:
-    """A gateway's serving before servers of the test's."""
+    """A gateway's request handler and the servers of a test."""
 
     def __init__(
         self,
@@ -163,11 +172,11 @@
         accounts: list[ClientAccount] | None = None,
         **route: Any,
     ) -> None:
-        self.turns = Turns()
+        self.turns = FakeTurnClient()
         self.servers: list[RawServer] = []
         self.clock = ShiftedClock()
-        self.view = View(self.clock.clock(), lambda _: None)
-        told = {
+        self.view = GatewayView(self.clock.clock(), lambda _: None)
+        route_fields = {
             "name": "r",
             "host": "h",
             "prefix": "/x/",
@@ -192,22 +201,24 @@
         )
         routing = Routing(
             version=1,
-            routes=[Route(**told)],
+            routes=[Route(**route_fields)],
             services=[service],
             limits=CallerLimits(),
             accounts=accounts,
         )
         self._routing = routing
         if knows_routes:
-            self.learn_routes()
-        codec = HeaderCodec(_call, _to_server, _answer, _refusal)
+            self.publish_routes()
+        codec = HeaderCodec(
+            _decode_request, _encode_for_server, _decode_answer, _encode_refusal
+        )
         self.speeds = Speeds()
         self.balancer = Balancer("a", {"a": "r"}, random.Random(1), self.speeds)
-        self.usage = Usage(
+        self.usage = UsageReporter(
             cast("Any", None), self.clock.clock(), lambda: 1, set
         )
-        self.serving = Serving(
-            Parts(
+        self.handler = RequestHandler(
+            GatewayContext(
                 view=self.view,
                 balancer=self.balancer,
                 speeds=self.speeds,
@@ -220,21 +231,21 @@
                 gateways=lambda: 1,
             )
         )
-        self.http = HttpServer(self.serving.handle)
+        self.http = HttpServer(self.handler.handle)
         self.address = ""
 
-    def learn_routes(self) -> None:
-        """Tells the gateway its routes, as the newest."""
-        self.view.replace(self._routing)
+    def publish_routes(self) -> None:
+        """Gives the gateway its routes, marked as current."""
+        self.view.replace_routes(self._routing)
         self.view.handle(protocol.RoutingUpdate(version=1, is_current=True))
 
-    def learn_accounts(self, accounts: list[ClientAccount]) -> None:
-        """Tells the gateway other accounts, as the newest."""
+    def publish_accounts(self, accounts: list[ClientAccount]) -> None:
+        """Gives the gateway other accounts, as a newer version."""
         version = self._routing.version + 1
         self._routing = structs.replace(
             self._routing, version=version, accounts=accounts
         )
-        self.view.replace(self._routing)
+        self.view.replace_routes(self._routing)
 
     async def start(self, *answers: Answer) -> None:
         self.address = await self.http.start("127.0.0.1:0")
@@ -242,58 +253,62 @@
             server = RawServer(answer)
             await server.start()
             self.servers.append(server)
-            told = instance(
+            announced = instance(
                 f"s{number}", service="s", address=server.address, slots=4
             )
-            self.view.fleet.apply(told)
+            self.view.fleet.apply(announced)
 
     async def stop(self) -> None:
         await self.http.stop()
         for server in self.servers:
             await server.stop()
 
-    def runs(self) -> int:
+    def count_server_requests(self) -> int:
         """Returns how many requests reached a server."""
         return sum(len(server.seen) for server in self.servers)
 
     async def ask(
         self, name: str = "q1", body: bytes = b"in", **headers: str
-    ) -> Answered:
-        """Sends a request as a caller does."""
+    ) -> CallerResponse:
+        """Sends a request as a caller does and returns the response."""
         loop = asyncio.get_running_loop()
-        start = loop.time()
+        sent_s = loop.time()
         host, port = self.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         lines = ["POST /x/y?z=1 HTTP/1.1", "Host: h", f"Request-Id: {name}"]
         lines += [f"{k}: {v}" for k, v in headers.items()]
         lines += [f"Content-Length: {len(body)}", "Connection: close", "", ""]
         writer.write("\r\n".join(lines).encode() + body)
-        data, whole = b"", True
+        data, is_complete = b"", True
         try:
             while part := await reader.read(65_536):
                 data += part
         except ConnectionError:
-            whole = False
+            is_complete = False
         writer.close()
-        return _parsed(data, whole, loop.time() - start)
+        return _parse_response(data, is_complete, loop.time() - sent_s)
 
 
-def _parsed(data: bytes, whole: bool, took_s: float) -> Answered:
+def _parse_response(
+    data: bytes, is_complete: bool, took_s: float
+) -> CallerResponse:
     head, _, body = data.partition(b"\r\n\r\n")
     if not head:
-        return Answered(0, {}, b"", False, took_s)
+        return CallerResponse(0, {}, b"", False, took_s)
     first, *lines = head.decode().split("\r\n")
     headers = {}
     for line in lines:
         name, _, value = line.partition(": ")
         headers[name.lower()] = value
     if headers.get("transfer-encoding") == "chunked":
-        body, ended = _unchunk(body)
-        whole = whole and ended
-    return Answered(int(first.split()[1]), headers, body, whole, took_s)
+        body, has_end = _decode_chunks(body)
+        is_complete = is_complete and has_end
+    return CallerResponse(
+        int(first.split()[1]), headers, body, is_complete, took_s
+    )
 
 
-def _unchunk(data: bytes) -> tuple[bytes, bool]:
+def _decode_chunks(data: bytes) -> tuple[bytes, bool]:
     out = b""
     while data:
         size, _, rest = data.partition(b"\r\n")
@@ -305,36 +320,36 @@
     return out, False
 
 
-async def good(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Answers as it should."""
+async def answer_ok(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    """Answers with 200."""
     writer.write(sealed(seen, b"fine"))
 
 
-async def full(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Refuses, as not run."""
+async def refuse_full(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    """Refuses with 503 and states that the request was not run."""
     status = "503 Service Unavailable"
     writer.write(sealed(seen, b"", status, Not_Run="1"))
 
 
-async def dies(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Breaks the connection off."""
+async def abort_connection(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    """Aborts the connection."""
     writer.transport.abort()
 
 
-async def mute(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
     """Never answers."""
-    await asyncio.sleep(WAIT_S)
+    await asyncio.sleep(TIME_LIMIT_S)
 
 
-def events(first: int, last: int) -> bytes:
-    """Returns the events of these numbers."""
+def encode_events(first: int, last: int) -> bytes:
+    """Returns the encoded events with these numbers."""
     return b"".join(
         b"id: %d\ndata: e%d\n\n" % (n, n) for n in range(first, last + 1)
     )
 
 
-def stream(seen: Seen, *parts: bytes, end: bool = True) -> bytes:
-    """Returns an answer of such parts, without its end where `end` is not."""
+def encode_stream(seen: Seen, *parts: bytes, end: bool = True) -> bytes:
+    """Returns a chunked answer; without the final chunk unless `end`."""
     name = seen.headers["request-id"]
     head = (
         f"HTTP/1.1 200 OK\r\nRequest-Id: {name}\r\nSealed: yes\r\n"
@@ -344,6 +359,6 @@
     return head + chunks + (b"0\r\n\r\n" if end else b"")
 
 
-async def streams(seen: Seen, writer: asyncio.StreamWriter) -> None:
-    """Streams three events and ends."""
-    writer.write(stream(seen, events(1, 3)))
+async def stream_events(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    """Streams three events, then ends."""
+    writer.write(encode_stream(seen, encode_events(1, 3)))
