--- a/bench/deciding/gateway.py
+++ b/bench/deciding/gateway.py
@@ -226,7 +226,9 @@
         new = call.prompt[-1].tokens
         instance = choice.instance
         sample = StreamTimings(
-            read_tokens=new if choice.cached_tokens == wanted - new else None,
+            prefilled_tokens=new
+            if choice.cached_tokens == wanted - new
+            else None,
             first_ms=first_ms,
             gaps_ms=job.gaps_ms,
             concurrent=max(0, running - 1),
--- a/catkinpin/adapters/gateway/timings.py
+++ b/catkinpin/adapters/gateway/timings.py
@@ -65,7 +65,7 @@
         new = call.prompt[-1].tokens if call.prompt else 0
         is_known = bool(new) and choice.cached_tokens == wanted - new
         return StreamTimings(
-            read_tokens=new if is_known else None,
+            prefilled_tokens=new if is_known else None,
             first_ms=(self.first_s - self.sent_s) * _MS,
             gaps_ms=self.gaps_ms,
             concurrent=max(0, self.load.running - 1),
--- a/catkinpin/adapters/replica/founding.py
+++ b/catkinpin/adapters/replica/founding.py
@@ -153,8 +153,8 @@
             if self._repair_requested:
                 self.repair()
             return
-        self._founder.handle_introduction(
-            types.Introduction(
+        self._founder.handle_seed_info(
+            types.SeedInfo(
                 info.node,
                 info.address,
                 info.empty,
--- a/catkinpin/configuration.py
+++ b/catkinpin/configuration.py
@@ -22,11 +22,11 @@
 Names = Annotated[list[Name], pydantic.Field(max_length=10_000)]
 
 
-class _StrictModel(pydantic.BaseModel):
+class _StrictSchema(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
-class LimitsModel(_StrictModel):
+class LimitsSchema(_StrictSchema):
     """Limits in the configuration file; see `deployments.Limits`."""
 
     calls_running: int = pydantic.Field(default=0, ge=0, le=1_000_000)
@@ -36,15 +36,15 @@
     queue: int = pydantic.Field(default=0, ge=0, le=1_000_000)
 
 
-class AccountModel(_StrictModel):
+class AccountSchema(_StrictSchema):
     """An account in the configuration file."""
 
     name: Name
     key_sha256: str = pydantic.Field(pattern="^[0-9a-f]{64}$")
-    limits: LimitsModel = LimitsModel()
+    limits: LimitsSchema = LimitsSchema()
 
 
-class ServerSetModel(_StrictModel):
+class ServerSetSchema(_StrictSchema):
     """A set of backend servers in the configuration file."""
 
     names: Names = []
@@ -53,14 +53,14 @@
     off: Names = []
 
 
-class DeploymentModel(_StrictModel):
+class DeploymentSchema(_StrictSchema):
     """A deployment in the configuration file; see `deployments.Deployment`."""
 
     name: Name
     targets: list[Name] = pydantic.Field(min_length=1, max_length=1_000)
     accounts: Names = []
     versions: dict[Name, Name] = {}
-    servers: ServerSetModel = ServerSetModel()
+    servers: ServerSetSchema = ServerSetSchema()
     budget_tokens: int = pydantic.Field(
         default=1_000_000, gt=0, le=1_000_000_000
     )
@@ -69,12 +69,12 @@
     idle_timeout_seconds: int = pydantic.Field(default=0, ge=0, le=800 * _DAY_S)
     priority: int = pydantic.Field(default=0, ge=0, le=100)
     interactive: bool = False
-    limits: LimitsModel = LimitsModel()
+    limits: LimitsSchema = LimitsSchema()
 
 
-class _ConfigurationFile(_StrictModel):
-    accounts: list[AccountModel] = []
-    deployments: list[DeploymentModel] = []
+class _ConfigurationFile(_StrictSchema):
+    accounts: list[AccountSchema] = []
+    deployments: list[DeploymentSchema] = []
 
 
 def key_digest(key: str) -> str:
@@ -113,14 +113,14 @@
         raise BadRequestError("configuration", text) from exc
 
 
-def _to_account(model: AccountModel) -> deployments.Account:
+def _to_account(model: AccountSchema) -> deployments.Account:
     limits = deployments.Limits(**model.limits.model_dump())
     return deployments.Account(
         name=model.name, key_sha256=model.key_sha256, limits=limits
     )
 
 
-def _to_deployment(model: DeploymentModel) -> deployments.Deployment:
+def _to_deployment(model: DeploymentSchema) -> deployments.Deployment:
     fields = model.model_dump()
     fields["limits"] = deployments.Limits(**fields["limits"])
     fields["servers"] = deployments.ServerSet(**fields["servers"])
--- a/catkinpin/core/consensus/founding.py
+++ b/catkinpin/core/consensus/founding.py
@@ -21,8 +21,8 @@
     Command,
     Decided,
     FoundingTiming,
-    Introduction,
     Save,
+    SeedInfo,
     SeedRecord,
     Send,
     WaitStatus,
@@ -109,17 +109,17 @@
         self._attempt: _Attempt | None = None
         self._out: list[Command] = []
 
-    def introduction(self) -> Introduction:
-        """Returns this seed's introduction to the other seeds."""
-        return Introduction(
+    def seed_info(self) -> SeedInfo:
+        """Returns what this seed tells the other seeds about itself."""
+        return SeedInfo(
             self.node, self.address, self.record.empty, self.knows_group
         )
 
-    def handle_introduction(self, info: Introduction, now_ms: int) -> None:
-        """Handles the introduction of another seed."""
+    def handle_seed_info(self, info: SeedInfo, now_ms: int) -> None:
+        """Handles what another seed tells about itself."""
         if info.address not in self.seeds or info.address == self.address:
             return
-        self._presence.note_introduction(info, now_ms)
+        self._presence.record_seed_info(info, now_ms)
         if info.knows_group:
             self.group_known()
         self.tick(now_ms)
--- a/catkinpin/core/consensus/foundingtypes.py
+++ b/catkinpin/core/consensus/foundingtypes.py
@@ -20,7 +20,7 @@
     """Timeouts of the founding.
 
     Attributes:
-        silence_timeout_ms: time without an introduction after which a seed
+        silence_timeout_ms: time without a `SeedInfo` after which a seed
             counts as unreachable.
         attempt_timeout_ms: time after which an attempt goes on with the
             promises that it has, or is abandoned.
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Introduction:
+class SeedInfo:
     """How a seed that waits for the founding describes itself to the others.
 
     Attributes:
--- a/catkinpin/core/consensus/leading.py
+++ b/catkinpin/core/consensus/leading.py
@@ -21,7 +21,7 @@
     """Makes this replica the leader of its current term."""
     state.role = Role.LEADER
     state.leader = state.node
-    state.save_term(state.term, state.node, led=True)
+    state.save_term(state.term, state.node, is_leader=True)
     state.elected_ms = now_ms
     state.leadership_reported = False
     state.heartbeat_slot = -1
--- a/catkinpin/core/consensus/presence.py
+++ b/catkinpin/core/consensus/presence.py
@@ -5,16 +5,16 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from catkinpin.core.consensus.foundingtypes import Introduction
+    from catkinpin.core.consensus.foundingtypes import SeedInfo
 
 
 class Presence:
-    """The latest introduction of each other seed.
+    """The latest `SeedInfo` of each other seed.
 
     Args:
         seed_count: number of seeds, this one included.
-        empty: whether this seed may have lost its disk.
-        silence_timeout_ms: time without an introduction after which a seed
+        may_have_lost_disk: whether this seed may have lost its disk.
+        silence_timeout_ms: time without a `SeedInfo` after which a seed
             counts as unreachable.
 
     Attributes:
@@ -25,23 +25,23 @@
     """
 
     def __init__(
-        self, seed_count: int, empty: bool, silence_timeout_ms: int
+        self, seed_count: int, may_have_lost_disk: bool, silence_timeout_ms: int
     ) -> None:
         self._seed_count = seed_count
-        self._empty = empty
+        self._may_have_lost_disk = may_have_lost_disk
         self._silence_timeout_ms = silence_timeout_ms
-        self._introductions: dict[str, Introduction] = {}
-        self._introduction_times_ms: dict[str, int] = {}
+        self._seed_infos: dict[str, SeedInfo] = {}
+        self._received_ms: dict[str, int] = {}
         self.majority_since_ms: int | None = None
         self.all_since_ms: int | None = None
 
-    def note_introduction(self, info: Introduction, now_ms: int) -> None:
-        """Records the introduction of another seed."""
-        known = self._introductions.get(info.address)
+    def record_seed_info(self, info: SeedInfo, now_ms: int) -> None:
+        """Records the latest `SeedInfo` of another seed."""
+        known = self._seed_infos.get(info.address)
         if known is not None and known.node != info.node:
             self.all_since_ms = None
-        self._introductions[info.address] = info
-        self._introduction_times_ms[info.address] = now_ms
+        self._seed_infos[info.address] = info
+        self._received_ms[info.address] = now_ms
 
     def update(self, now_ms: int) -> None:
         """Updates since when the seeds have been reachable."""
@@ -59,14 +59,16 @@
         reachable_since_ms = now_ms - self._silence_timeout_ms
         return {
             address: info.node
-            for address, info in self._introductions.items()
-            if self._introduction_times_ms[address] > reachable_since_ms
+            for address, info in self._seed_infos.items()
+            if self._received_ms[address] > reachable_since_ms
         }
 
     def count_kept_disks(self, now_ms: int) -> int:
         """Returns how many reachable seeds surely kept their disks."""
-        introductions = [
-            self._introductions[address]
+        seed_infos = [
+            self._seed_infos[address]
             for address in self.reachable_nodes(now_ms)
         ]
-        return sum(not info.empty for info in introductions) + (not self._empty)
+        return sum(not info.empty for info in seed_infos) + (
+            not self._may_have_lost_disk
+        )
--- a/catkinpin/core/consensus/state.py
+++ b/catkinpin/core/consensus/state.py
@@ -281,11 +281,13 @@
         our_position = (self.log.last_term, self.log.last)
         return (last_term, last_index) >= our_position
 
-    def save_term(self, term: int, vote: str, *, led: bool = False) -> None:
+    def save_term(
+        self, term: int, vote: str, *, is_leader: bool = False
+    ) -> None:
         """Sets term and vote and queues them to be written to disk."""
         self.term = term
         self.vote = vote
-        self.emit(commands.SaveState(term, vote, led))
+        self.emit(commands.SaveState(term, vote, is_leader))
 
     def become_follower(self, term: int, leader: str, now_ms: int) -> None:
         """Makes this replica a follower in `term`, whatever its role was."""
--- a/catkinpin/core/operations/leader.py
+++ b/catkinpin/core/operations/leader.py
@@ -160,7 +160,7 @@
         if up or gone:
             record = changes.ProcessesChanged(at_ms=wall_ms, up=up, gone=gone)
             commands.append(Propose(record))
-        for offer in self._orders.take_due_offers(now_ms):
+        for offer in self._orders.create_due_offers(now_ms):
             entry = self._choose_entry(offer)
             if entry is not None:
                 commands.append(Send(entry, offer))
--- a/catkinpin/core/operations/orders.py
+++ b/catkinpin/core/operations/orders.py
@@ -37,7 +37,7 @@
         self._busy_until_ms: dict[str, int] = {}
         self._problems: dict[str, str] = {}
 
-    def take_due_offers(self, now_ms: int) -> list[changes.OrderOffer]:
+    def create_due_offers(self, now_ms: int) -> list[changes.OrderOffer]:
         """Returns the orders to offer now and records when they are offered."""
         offers = []
         for plan_id, run in self._state.plans.items():
--- a/catkinpin/core/placement/assignment.py
+++ b/catkinpin/core/placement/assignment.py
@@ -33,9 +33,9 @@
     from catkinpin.core.programs.shard import Shard
 
 # Delay until a call that must not run beside others is placed again.
-_APART_WAIT_MS = 100
+_RETRY_DELAY_MS = 100
 # Limit of remembered contents that were answered.
-_MAX_KNOWN_GOOD = 10_000
+_MAX_ANSWERED_CONTENTS = 10_000
 _MS_PER_S = 1_000
 
 
@@ -122,7 +122,7 @@
             collections.Counter()
         )
         self._calls_by_server: collections.Counter[str] = collections.Counter()
-        self._known_good: dict[bytes, None] = {}
+        self._answered_contents: dict[bytes, None] = {}
         self._begins: dict[CallKey, Begin] = {}
         self._retried: set[CallKey] = set()
         self._now_ms = 0
@@ -164,7 +164,7 @@
                 server = decision.server.report.server
                 if job is not None and self._must_wait(job, server):
                     pending += self.end_call(decision.key, now_ms)
-                    outcomes.append(Deferred(decision.key, _APART_WAIT_MS))
+                    outcomes.append(Deferred(decision.key, _RETRY_DELAY_MS))
                     continue
                 if job is not None:
                     assigned = _Assigned(
@@ -183,7 +183,7 @@
                 pending += retried_decisions
                 if not retried_decisions and job.suspect:
                     self._retried.discard(decision.key)
-                    outcomes.append(Deferred(decision.key, _APART_WAIT_MS))
+                    outcomes.append(Deferred(decision.key, _RETRY_DELAY_MS))
             else:
                 outcomes.append(_rejected(decision))
         return outcomes
@@ -214,10 +214,10 @@
         assigned = self._assigned.get(key)
         if assigned is None or not assigned.content:
             return
-        self._known_good.pop(assigned.content, None)
-        self._known_good[assigned.content] = None
-        if len(self._known_good) > _MAX_KNOWN_GOOD:
-            del self._known_good[next(iter(self._known_good))]
+        self._answered_contents.pop(assigned.content, None)
+        self._answered_contents[assigned.content] = None
+        if len(self._answered_contents) > _MAX_ANSWERED_CONTENTS:
+            del self._answered_contents[next(iter(self._answered_contents))]
 
     def restore_call(self, call: Call, attempt: Attempt) -> None:
         """Restores a running attempt that a previous leader granted."""
@@ -268,10 +268,10 @@
             else 0
         )
         if not job.suspect:
-            is_limited = job.content_digest not in self._known_good
+            is_limited = job.content_digest not in self._answered_contents
             return is_limited and running >= MAX_CRASHES
-        is_apart = server not in self._suspect_servers()
-        return running > 0 or not is_apart
+        has_no_suspects = server not in self._suspect_servers()
+        return running > 0 or not has_no_suspects
 
     def _allowed_by_cfg(self, deployment: str, report: ServerReport) -> bool:
         """Returns whether the configuration lets a deployment use the server.
--- a/catkinpin/core/placement/balance.py
+++ b/catkinpin/core/placement/balance.py
@@ -383,8 +383,8 @@
         """Returns the speed of a model server, None for a plain service."""
         if not call.max_tokens:
             return None
-        typical = self._speeds.engine_speed(instance.service)
-        return typical.scaled(self._speeds.slowdown(instance.id, now_ms))
+        typical_speed = self._speeds.engine_speed(instance.service)
+        return typical_speed.scaled(self._speeds.slowdown(instance.id, now_ms))
 
     def _work(
         self,
--- a/catkinpin/core/placement/speeds.py
+++ b/catkinpin/core/placement/speeds.py
@@ -58,8 +58,8 @@
 _SLOWDOWN_HALF_LIFE_MS = 4_000
 # Weight of a new plain call in the moving average of its route, and the
 # multiple of the average at which the time of a single call is capped.
-_PLAIN_WEIGHT = 0.05
-_PLAIN_CAP_RATIO = 4.0
+_PLAIN_CALL_WEIGHT = 0.05
+_PLAIN_CALL_CAP_RATIO = 4.0
 # Gaps between events that a sample of the token time needs at least, and the
 # quantile of the gaps that is used. Longer gaps include the prefill of other
 # requests.
@@ -104,15 +104,15 @@
     """Timings of one streamed answer of a model server.
 
     Attributes:
-        read_tokens: Prompt tokens that the server had to prefill; None if the
-            number is uncertain.
+        prefilled_tokens: Prompt tokens that the server had to prefill; None
+            if the number is uncertain.
         first_ms: Time from sending the request to the first event.
         gaps_ms: Times between events, per token of the later event.
         concurrent: Number of concurrent requests on the server.
         waiting: Number of requests that waited at the server.
     """
 
-    read_tokens: int | None
+    prefilled_tokens: int | None
     first_ms: float
     gaps_ms: list[float]
     concurrent: int
@@ -120,17 +120,17 @@
 
 
 @dataclasses.dataclass
-class _SlowdownLog:
+class _LogSlowdown:
     """Logarithm of a server's slowdown relative to its service."""
 
     started_ms: int
-    log: float = 0.0
+    log_ratio: float = 0.0
     at_ms: int = 0
 
-    def log_at(self, now_ms: int) -> float:
+    def log_ratio_at(self, now_ms: int) -> float:
         """Returns the logarithm, decayed by its age."""
         half_lives = (now_ms - self.at_ms) / _SLOWDOWN_HALF_LIFE_MS
-        return self.log * math.pow(0.5, half_lives)
+        return self.log_ratio * math.pow(0.5, half_lives)
 
 
 class _ServiceSpeed:
@@ -160,8 +160,8 @@
             The ratio of its token time to the expected one, 0 if the answer
             has too few gaps.
         """
-        if sample.read_tokens is not None and not sample.waiting:
-            self._first.add(sample.read_tokens, sample.first_ms)
+        if sample.prefilled_tokens is not None and not sample.waiting:
+            self._first.add(sample.prefilled_tokens, sample.first_ms)
         if len(sample.gaps_ms) < _MIN_GAPS:
             return 0.0
         low_gap_ms = sorted(sample.gaps_ms)[
@@ -177,7 +177,7 @@
 
     def __init__(self) -> None:
         self._services: dict[str, _ServiceSpeed] = {}
-        self._slowdowns: dict[str, _SlowdownLog] = {}
+        self._slowdowns: dict[str, _LogSlowdown] = {}
         self._plain_ms: dict[str, float] = {}
 
     def engine_speed(self, service: str) -> EngineSpeed:
@@ -187,10 +187,10 @@
 
     def slowdown(self, server: str, now_ms: int) -> float:
         """Returns the ratio of a server's time to that of its service."""
-        slowdown_log = self._slowdowns.get(server)
-        if slowdown_log is None:
+        log_slowdown = self._slowdowns.get(server)
+        if log_slowdown is None:
             return 1.0
-        ratio = math.exp(slowdown_log.log_at(now_ms))
+        ratio = math.exp(log_slowdown.log_ratio_at(now_ms))
         return 1.0 if 1 / _SIMILAR_RATIO < ratio < _SIMILAR_RATIO else ratio
 
     def plain_ms(self, route: str) -> float:
@@ -207,23 +207,26 @@
     ) -> None:
         """Learns from a complete answer of a model server."""
         learned = self._services.setdefault(service, _ServiceSpeed())
-        slowdown_log = self._slowdowns.get(server)
-        if slowdown_log is None or slowdown_log.started_ms != started_ms:
-            slowdown_log = self._slowdowns[server] = _SlowdownLog(started_ms)
-        current_log = slowdown_log.log_at(now_ms)
+        log_slowdown = self._slowdowns.get(server)
+        if log_slowdown is None or log_slowdown.started_ms != started_ms:
+            log_slowdown = self._slowdowns[server] = _LogSlowdown(started_ms)
+        current_log_ratio = log_slowdown.log_ratio_at(now_ms)
         ratio = learned.learn(sample)
         if ratio:
-            target_log = math.log(_SLOWDOWN_BOUNDS.clip(ratio))
-            slowdown_log.log = (
-                current_log + (target_log - current_log) * _SLOWDOWN_WEIGHT
+            sample_log_ratio = math.log(_SLOWDOWN_BOUNDS.clip(ratio))
+            log_slowdown.log_ratio = (
+                current_log_ratio
+                + (sample_log_ratio - current_log_ratio) * _SLOWDOWN_WEIGHT
             )
-            slowdown_log.at_ms = now_ms
+            log_slowdown.at_ms = now_ms
 
     def record_plain_call(self, route: str, took_ms: float) -> None:
         """Learns from the answer to a plain call."""
         average_ms = self.plain_ms(route)
-        took_ms = min(took_ms, _PLAIN_CAP_RATIO * average_ms)
-        new_average_ms = average_ms + (took_ms - average_ms) * _PLAIN_WEIGHT
+        took_ms = min(took_ms, _PLAIN_CALL_CAP_RATIO * average_ms)
+        new_average_ms = (
+            average_ms + (took_ms - average_ms) * _PLAIN_CALL_WEIGHT
+        )
         self._plain_ms[route] = _PLAIN_CALL_MS_BOUNDS.clip(new_average_ms)
 
     def expected_ms(self, service: str, route: str, call: RouteCall) -> float:
--- a/catkinpin/core/programs/crashes.py
+++ b/catkinpin/core/programs/crashes.py
@@ -50,17 +50,23 @@
 
     def share_quarantine(self, now_ms: int, wall_ms: int) -> list[Command]:
         """Hands over what this shard quarantined to the control group."""
-        unshared = self._shard.quarantine.unshared_contents()
-        if not unshared:
+        unshared_contents = self._shard.quarantine.unshared_contents()
+        if not unshared_contents:
             return []
-        shared = [content for content in unshared if self._is_shared(content)]
+        shared = [
+            content for content in unshared_contents if self._is_shared(content)
+        ]
         commands: list[Command] = []
         if shared:
             record = records.QuarantineShared(at_ms=wall_ms, contents=shared)
             commands.append(Propose(record))
         if now_ms >= self._next_share_ms:
             self._next_share_ms = now_ms + _SHARE_RETRY_MS
-            missing = [content for content in unshared if content not in shared]
+            missing = [
+                content
+                for content in unshared_contents
+                if content not in shared
+            ]
             commands += map(ShareQuarantine, missing)
         return commands
 
--- a/catkinpin/core/programs/deadlines.py
+++ b/catkinpin/core/programs/deadlines.py
@@ -104,7 +104,7 @@
     ) -> None:
         self._shard = state
         self._waiters = waiters
-        self._tracker = tracker
+        self._attempt_tracker = tracker
         self._entries = entries
         self._timers: Timers[TimerEvent] = Timers()
         self._tracked_programs: set[ProgramKey] = set()
@@ -170,7 +170,7 @@
 
     def recall_all(self, entry: EntryRef) -> list[Command]:
         """Asks an entry about every attempt that it holds."""
-        held = self._tracker.held_by(entry.incarnation)
+        held = self._attempt_tracker.held_by(entry.incarnation)
         commands: list[Command] = []
         for tracked in held:
             commands += self._recall_commands(entry, tracked)
@@ -195,7 +195,7 @@
         )
         if message is None or entry is None:
             return Propose(attempts.lost_record(tracked, wall_ms))
-        self._tracker.assign_recovery(tracked, entry.incarnation)
+        self._attempt_tracker.assign_recovery(tracked, entry.incarnation)
         return Send(entry, message)
 
     def _recover_message(
@@ -260,7 +260,7 @@
         ]
 
     def _recall_attempt(self, due: AttemptRecall, now_ms: int) -> list[Command]:
-        tracked = self._tracker.get(due.attempt)
+        tracked = self._attempt_tracker.get(due.attempt)
         if tracked is None:
             return []
         self._timers.add(now_ms + _RECALL_RETRY_MS, due)
--- a/catkinpin/core/programs/explanations.py
+++ b/catkinpin/core/programs/explanations.py
@@ -87,7 +87,9 @@
             attained_tokens=job.attained_tokens,
             turns=job.turns,
             interactive=job.interactive,
-            candidates=[_candidate(cost) for cost in costs[:_MAX_CANDIDATES]],
+            candidates=[
+                _candidate_from_cost(cost) for cost in costs[:_MAX_CANDIDATES]
+            ],
         )
         self._decisions[job.key] = (explained, now_ms)
         if len(self._decisions) > _MAX_CALLS:
@@ -104,7 +106,7 @@
         )
 
 
-def _candidate(cost: Cost) -> Candidate:
+def _candidate_from_cost(cost: Cost) -> Candidate:
     server = cost.server
     return Candidate(
         server=server.report.server,
--- a/catkinpin/core/programs/grants.py
+++ b/catkinpin/core/programs/grants.py
@@ -47,7 +47,7 @@
         cfg: Callable[[], Configuration],
     ) -> None:
         self._waiters = waiters
-        self._tracker = tracker
+        self._attempt_tracker = tracker
         self._deadlines = deadlines
         self._assigner = assigner
         self._admission = admission
@@ -78,7 +78,7 @@
             record = attempts.unsent_record(call.key, attempt.attempt, wall_ms)
             return [Propose(record)]
         self._waiters.remove(call.key, waiter)
-        self._tracker.add(call.key, attempt)
+        self._attempt_tracker.add(call.key, attempt)
         self._deadlines.schedule_recall(attempt.attempt, now_ms)
         return [replies.grant(waiter, effect.program, call, attempt, now_ms)]
 
@@ -102,6 +102,6 @@
         if call.attempt is None:
             return
         self._admission.mark_running(call.key, now_ms)
-        self._tracker.add(call.key, call.attempt)
+        self._attempt_tracker.add(call.key, call.attempt)
         self._assigner.restore_call(call, call.attempt)
         self._deadlines.schedule_recall(call.attempt.attempt, now_ms)
--- a/catkinpin/core/programs/incarnations.py
+++ b/catkinpin/core/programs/incarnations.py
@@ -46,12 +46,15 @@
 
     Args:
         state: the shard's state, which is only read.
-        is_account: whether the configuration has an account of this name.
+        account_exists: returns whether the configuration has an account with
+            the name given to it.
     """
 
-    def __init__(self, state: Shard, is_account: Callable[[str], bool]) -> None:
+    def __init__(
+        self, state: Shard, account_exists: Callable[[str], bool]
+    ) -> None:
         self._shard = state
-        self._is_account = is_account
+        self._account_exists = account_exists
         self._servers: dict[str, _LastReport] = {}
         self._broken_at_ms: dict[tuple[str, str], int] = {}
         self._next_entry = 0
@@ -170,7 +173,7 @@
             for at, letter in enumerate(name)
             if letter == "/"
         ]
-        known = [key for key in keys if self._is_account(key.account)]
+        known = [key for key in keys if self._account_exists(key.account)]
         if len(known) > 1:
             return None
         return next(iter(known or keys), None)
--- a/catkinpin/core/programs/leader.py
+++ b/catkinpin/core/programs/leader.py
@@ -63,12 +63,12 @@
         self.cfg = cfg
         self._waiters = Waiters()
         self._entries: dict[str, EntryRef] = {}
-        self._tracker = AttemptTracker()
+        self._attempt_tracker = AttemptTracker()
         self._incarnations = Incarnations(
             state, lambda name: name in self.cfg.accounts
         )
         self._deadlines = Deadlines(
-            state, self._waiters, self._tracker, self._entries
+            state, self._waiters, self._attempt_tracker, self._entries
         )
         self.admission = limits.Admission()
         self.retries = limits.RetryBudget()
@@ -85,7 +85,7 @@
         self._queries = ProgramQueries(state)
         self._grants = Grants(
             self._waiters,
-            self._tracker,
+            self._attempt_tracker,
             self._deadlines,
             self._assigner,
             self.admission,
@@ -104,10 +104,10 @@
                 self._grants.register_call(call, now_ms, wall_ms)
                 self._grants.resume_attempt(call, now_ms)
         commands: list[Command] = []
-        for incarnation in self._tracker.entry_incarnations():
+        for incarnation in self._attempt_tracker.entry_incarnations():
             entry = self._entries.get(incarnation)
             if entry is None:
-                self._tracker.entry_gone(incarnation, now_ms)
+                self._attempt_tracker.entry_gone(incarnation, now_ms)
             else:
                 commands += self._deadlines.recall_all(entry)
         return commands
@@ -178,14 +178,14 @@
     def entry_connected(self, entry: EntryRef) -> list[Command]:
         """Registers a connected entry, which can dispatch in its region."""
         self._entries[entry.incarnation] = entry
-        self._tracker.entry_returned(entry.incarnation)
+        self._attempt_tracker.entry_returned(entry.incarnation)
         return self._deadlines.recall_all(entry)
 
     def entry_lost(self, entry: EntryRef, now_ms: int) -> None:
         """Removes an entry whose stream broke."""
         self._entries.pop(entry.incarnation, None)
         self._waiters.drop_entry(entry.incarnation)
-        self._tracker.entry_gone(entry.incarnation, now_ms)
+        self._attempt_tracker.entry_gone(entry.incarnation, now_ms)
 
     def handle_decisions(
         self, decisions: list[Decision], now_ms: int, wall_ms: int
@@ -217,7 +217,7 @@
         commands = work.commands
         for key in work.calls_to_place:
             commands += self._place(key, now_ms, wall_ms)
-        for tracked in self._tracker.orphaned(now_ms):
+        for tracked in self._attempt_tracker.orphaned(now_ms):
             commands.append(self._deadlines.recover_or_settle(tracked, wall_ms))
         commands += self._incarnations.resolve_strikes(now_ms, wall_ms)
         commands += self._gate.share_quarantine(now_ms, wall_ms)
@@ -419,7 +419,7 @@
     ) -> list[Command]:
         if record.answer is not None:
             self._assigner.record_answer(record.key)
-        tracked = self._tracker.remove(record.attempt)
+        tracked = self._attempt_tracker.remove(record.attempt)
         if tracked is not None:
             self._outcomes.update_outliers(tracked, record, now_ms)
         return self._free_server(record.key, now_ms, wall_ms, record.usage)
--- a/tests/fakes/foundingsim.py
+++ b/tests/fakes/foundingsim.py
@@ -100,7 +100,7 @@
             self.last_introduction_ms = self.sim.now_ms
             for other in self.sim.seeds.values():
                 if other is not self:
-                    self.sim.send(self, other, self.founder.introduction())
+                    self.sim.send(self, other, self.founder.seed_info())
         self.founder.tick(self.sim.now_ms)
         self.execute_commands()
 
@@ -148,8 +148,8 @@
             else:
                 self.disk.joined = True
             return
-        if isinstance(message, types.Introduction):
-            self.founder.handle_introduction(message, self.sim.now_ms)
+        if isinstance(message, types.SeedInfo):
+            self.founder.handle_seed_info(message, self.sim.now_ms)
         else:
             self.founder.step(message, self.sim.now_ms)
         self.execute_commands()
--- a/tests/test_founders.py
+++ b/tests/test_founders.py
@@ -238,8 +238,8 @@
         """Guards against two keepers that vote with one identity."""
         founder = self._founder()
         for address in ("a2", "a3"):
-            info = types.Introduction("n2", address, empty=False)
-            founder.handle_introduction(info, 10)
+            info = types.SeedInfo("n2", address, empty=False)
+            founder.handle_seed_info(info, 10)
         self.assertEqual([], founder.take_output())
         self.assertIn("copies", founder.wait_status(10).reason)
 
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -231,10 +231,10 @@
         """
         self.start_order(honours_fencing=False)
         orders = Orders(self.state, 1_000)
-        self.assertEqual([], orders.take_due_offers(1_000 + CLAIM_MS))
+        self.assertEqual([], orders.create_due_offers(1_000 + CLAIM_MS))
         self.assertEqual(0, self.claim_order(orders, 1_000 + CLAIM_MS).valid_ms)
         later = 1_100 + CLAIM_MS
-        self.assertEqual(1, len(orders.take_due_offers(later)))
+        self.assertEqual(1, len(orders.create_due_offers(later)))
         self.assertEqual(CLAIM_MS, self.claim_order(orders, later).valid_ms)
 
     def test_one_order_at_a_time(self) -> None:
@@ -245,12 +245,12 @@
         """
         self.start_order(honours_fencing=True)
         orders = Orders(self.state, 1_000)
-        self.assertEqual(1, len(orders.take_due_offers(1_000)))
+        self.assertEqual(1, len(orders.create_due_offers(1_000)))
         lease = self.claim_order(orders, 1_000)
         self.assertEqual((CLAIM_MS, 1), (lease.valid_ms, lease.fence))
         self.assertEqual(0, self.claim_order(orders, 1_010).valid_ms)
-        self.assertEqual([], orders.take_due_offers(2_500))
-        self.assertEqual(1, len(orders.take_due_offers(1_100 + CLAIM_MS)))
+        self.assertEqual([], orders.create_due_offers(2_500))
+        self.assertEqual(1, len(orders.create_due_offers(1_100 + CLAIM_MS)))
 
     def test_an_order_that_was_stopped_is_not_sent(self) -> None:
         """Guards against an order that is sent after its plan was stopped."""
