--- a/catkinpin/configuration.py
+++ b/catkinpin/configuration.py
@@ -45,7 +45,7 @@
 
 
 class ServerSetSchema(_StrictSchema):
-    """A set of backend servers in the configuration file."""
+    """The backend servers of a deployment in the configuration file."""
 
     names: Names = []
     failure_domains: Names = []
--- a/catkinpin/core/consensus/core.py
+++ b/catkinpin/core/consensus/core.py
@@ -138,7 +138,7 @@
         """Handles a heartbeat from the current leader that changes nothing.
 
         Returns:
-            Whether to answer with a plain `HeartbeatReply`. If False, the
+            Whether to answer with `HeartbeatReply`. If False, the
             heartbeat was not handled and has to be passed to `step`.
         """
         return following.accept_unchanged_heartbeat(
--- a/catkinpin/core/consensus/founding.py
+++ b/catkinpin/core/consensus/founding.py
@@ -150,7 +150,10 @@
                 self._on_accepted(msg)
 
     def tick(self, now_ms: int) -> None:
-        """Starts an attempt once it can succeed; ends one that timed out."""
+        """Starts, advances or ends an attempt to found the system.
+
+        An attempt starts once it can succeed, and ends when it times out.
+        """
         self._presence.update(now_ms)
         attempt = self._attempt
         if attempt is not None:
--- a/catkinpin/core/consensus/foundingtypes.py
+++ b/catkinpin/core/consensus/foundingtypes.py
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SeedInfo:
-    """How a seed that waits for the founding describes itself to the others.
+    """What a seed tells the other seeds while the system is not founded.
 
     Attributes:
         node: its identity.
--- a/catkinpin/core/consensus/log.py
+++ b/catkinpin/core/consensus/log.py
@@ -131,7 +131,10 @@
             self._members.pop(0)
 
     def first_index_of_term(self, index: int) -> int:
-        """Returns the first index that the log holds of the term at `index`."""
+        """Returns the first index whose entry has the same term as `index`.
+
+        Entries that compaction dropped don't count.
+        """
         term = self.term_at(index)
         while index > self.base + 1 and self.term_at(index - 1) == term:
             index -= 1
--- a/catkinpin/core/control/copies.py
+++ b/catkinpin/core/control/copies.py
@@ -33,7 +33,7 @@
 
 
 def holder_of(info: HostInfo) -> Holder:
-    """Returns the holder that a host's introduction describes."""
+    """Returns the host that a `HostInfo` message describes."""
     return Holder(info.node, info.address, info.region, info.domain)
 
 
--- a/catkinpin/core/control/ledger.py
+++ b/catkinpin/core/control/ledger.py
@@ -1,9 +1,11 @@
 """Deterministic state of the budgets and the turns of all programs.
 
-A turn continues an earlier turn or starts a new chain; several turns may
-continue the same one, so the turns of a program form trees. Each record carries
-the log's time, which the leader sets and which never decreases. All replicas
-therefore expire the same turns at the same record.
+A turn continues an earlier turn or none. A chain is a turn with all turns that
+it continues, back to the first. Several turns may continue the same one, so the
+turns of a program form trees.
+
+Each record carries the log's time, which the leader sets and which never
+decreases. All replicas therefore expire the same turns at the same record.
 """
 
 from __future__ import annotations
@@ -24,11 +26,11 @@
 
 
 class Begin(Message, frozen=True):
-    """Begins a turn and reserves its maximum number of tokens.
+    """Log record: begins a turn and reserves its maximum number of tokens.
 
     Attributes:
         attempt: unique identity of this turn.
-        previous: the turn that it continues, empty for a new chain.
+        previous: the turn that it continues, empty if it continues none.
         budget: tokens that the whole program may generate; -1 for no limit.
         max_tokens: tokens that this turn may generate.
         retain_ms: how long the program is retained after this turn.
@@ -49,7 +51,7 @@
 
 
 class Finish(Message, frozen=True):
-    """Ends a turn and replaces its reservation by the tokens generated.
+    """Log record: ends a turn; its generated tokens replace its reservation.
 
     Attributes:
         tokens: tokens that the caller received; they are charged even if the
@@ -91,7 +93,7 @@
 
 
 class Link(Message, frozen=True):
-    """One turn of a chain, and the hosts that store its bytes."""
+    """A turn in a chain of turns, and the hosts that store the turn's bytes."""
 
     attempt: str
     holders: list[str]
--- a/catkinpin/core/control/protocol.py
+++ b/catkinpin/core/control/protocol.py
@@ -19,7 +19,7 @@
 
 
 class HostInfo(Message, frozen=True):
-    """Introduces a keeper or a store.
+    """Describes the sending keeper or store; sent to its peers.
 
     Attributes:
         node: its identity, new for each new data folder.
@@ -122,7 +122,7 @@
 
 
 class ReportUse(Message, frozen=True):
-    """Reports the plain requests of a gateway to the leader.
+    """Reports a gateway's requests to application services to the leader.
 
     Attributes:
         uses: requests forwarded since the last report, by account.
@@ -150,7 +150,7 @@
 
 
 class UnresponsiveUpdate(Message, frozen=True):
-    """Lists plain servers that several gateways found unresponsive."""
+    """Lists application servers that several gateways found unresponsive."""
 
     servers: list[str]
 
@@ -163,7 +163,7 @@
 
 
 class AskCurrent(Message, frozen=True):
-    """Asks for the routing document in force.
+    """Asks for the current routing document, which `Current` returns.
 
     Attributes:
         from_leader: whether only the leader may answer. It knows that there is
@@ -212,11 +212,13 @@
 
 
 class AskRetire(Message, frozen=True):
-    """Asks the leader to empty a store, or how far it has been emptied.
+    """Asks the leader to retire a store, or how far that has got.
+
+    A store is retired by emptying it until no turn depends on it.
 
     Attributes:
         name: name of the store's host.
-        begin: whether to begin emptying it; False only queries the progress.
+        begin: whether to begin retiring it; False only queries the progress.
     """
 
     ask: int
@@ -271,7 +273,7 @@
 
     Attributes:
         denial: value of `ledger.Denial`; empty where the turn may begin.
-        chain: the turns before it, oldest first.
+        chain: the turns that this one continues, oldest first.
         retry_ms: in how many ms to retry, where the account's quota is used up.
         program_status: elapsed and lost time of the program.
         server: the server that ran the program's latest turn.
@@ -308,7 +310,7 @@
 
 
 class Current(Message, frozen=True):
-    """Answers `AskCurrent`."""
+    """Answers `AskCurrent` with the routing document in force."""
 
     ask: int
     routing: PackedRouting | None
--- a/catkinpin/core/control/quotas.py
+++ b/catkinpin/core/control/quotas.py
@@ -12,9 +12,10 @@
 Besides, the leader counts what ran within a sliding window, and refuses all
 requests shortly before the window exceeds the quota and its tolerance.
 
-Each replica counts the turns that it applies. Gateways report plain requests,
-which are not turns, to the leader; it logs their sums periodically. A new
-leader estimates the unlogged ones from the turns that began.
+Each replica counts the turns that it applies. Gateways report plain requests
+(to application services, thus not turns) to the leader; it logs their sums
+periodically. A new leader estimates the unlogged ones from the turns that
+began.
 """
 
 from __future__ import annotations
@@ -134,12 +135,14 @@
 
 @dataclasses.dataclass
 class ThrottledAccounts:
-    """Accounts whose plain requests are refused, and for how many ms.
+    """Accounts whose requests to application services are refused.
+
+    Each maps to the time in ms for which they are refused.
 
     Attributes:
-        over: accounts with a full window; all their plain requests are refused.
-        spent: accounts without credit; their plain requests outside of programs
-            are refused.
+        over: accounts whose window is full; all plain requests are refused.
+        spent: accounts without credit for new programs; plain requests that
+            belong to no program are refused.
     """
 
     over: dict[str, int] = dataclasses.field(default_factory=dict)
--- a/catkinpin/core/control/routes.py
+++ b/catkinpin/core/control/routes.py
@@ -96,7 +96,7 @@
     Attributes:
         health_path: path that answers 200 on a healthy server.
         max_connections: connections that one server accepts from all callers.
-        engine: properties of model servers; None for a plain service.
+        engine: properties of model servers; None for others.
     """
 
     name: str
--- a/catkinpin/core/control/state.py
+++ b/catkinpin/core/control/state.py
@@ -53,7 +53,7 @@
 
 
 class CountUse(Message, frozen=True):
-    """Counts plain requests of client accounts against their quotas.
+    """Counts accounts' application service requests against their quotas.
 
     It doesn't change `ControlState`: each keeper that applies the log counts
     the requests in its `Quotas`.
--- a/catkinpin/core/messages.py
+++ b/catkinpin/core/messages.py
@@ -333,7 +333,7 @@
         kind: `model` or `service`.
         serves: names of the models or services.
         capacity: number of requests it can run at the same time.
-        cache_tokens: size of its prefix cache; 0 for plain services.
+        cache_tokens: size of its prefix cache; 0 for other kinds.
         running: number of requests it was running.
         waiting: number of requests in its queue.
         leaving: whether it asks for no new work.
--- a/catkinpin/core/operations/changes.py
+++ b/catkinpin/core/operations/changes.py
@@ -375,7 +375,7 @@
 
 
 class OrderOffer(Message, frozen=True):
-    """Asks an entry to send an order of a plan to an engine."""
+    """Asks an entry to send a plan's order (a command) to an engine."""
 
     plan_id: str
     step: int
--- a/catkinpin/core/operations/leader.py
+++ b/catkinpin/core/operations/leader.py
@@ -308,7 +308,7 @@
         return [Propose(record)]
 
     def _find_departed_servers(self, run: PlanRun) -> list[str]:
-        """Returns a problem for each server of the forecast that has left."""
+        """Returns a problem for each server the plan needs that has left."""
         present = {r.server for r in self._get_view().servers if not r.leaving}
         return [
             f"server {name}: counted on by the plan, has left since"
--- a/catkinpin/core/operations/orders.py
+++ b/catkinpin/core/operations/orders.py
@@ -1,4 +1,4 @@
-"""Orders of plans to engines: which entry may send one, and until when.
+"""Orders (commands) of plans to engines: which entry may send one, and when.
 
 Entries send the orders. Right before it sends one, an entry claims the order
 from the leader; the engine must have answered within `CLAIM_MS` from when the
@@ -38,7 +38,10 @@
         self._problems: dict[str, str] = {}
 
     def create_due_offers(self, now_ms: int) -> list[changes.OrderOffer]:
-        """Returns the orders to offer now and records when they are offered."""
+        """Returns the messages that ask entries to send the orders due now.
+
+        An order is offered again at an interval until an entry claims it.
+        """
         offers = []
         for plan_id, run in self._state.plans.items():
             step = run.current_step()
--- a/catkinpin/core/placement/assignment.py
+++ b/catkinpin/core/placement/assignment.py
@@ -32,9 +32,9 @@
     from catkinpin.core.programs.program import Attempt, Call, Program
     from catkinpin.core.programs.shard import Shard
 
-# Delay until a call that must not run beside others is placed again.
+# Delay until a call that must not run now is placed again; see `_must_wait`.
 _RETRY_DELAY_MS = 100
-# Limit of remembered contents that were answered.
+# Limit of remembered contents that a server answered without a crash.
 _MAX_ANSWERED_CONTENTS = 10_000
 _MS_PER_S = 1_000
 
--- a/catkinpin/core/placement/balance.py
+++ b/catkinpin/core/placement/balance.py
@@ -107,7 +107,7 @@
         cached_tokens: Prompt tokens that the server is assumed to have cached.
         load_age_ms: Age of the load report that was used, -1 for none.
         running: Estimated number of running and waiting requests.
-        speed: Learned speed of the server; None for a plain service.
+        speed: Learned speed of a model server; None for others.
     """
 
     instance: Instance
@@ -380,7 +380,7 @@
     def _speed(
         self, instance: Instance, call: RouteCall, now_ms: int
     ) -> EngineSpeed | None:
-        """Returns the speed of a model server, None for a plain service."""
+        """Returns the speed of a model server, None for others."""
         if not call.max_tokens:
             return None
         typical_speed = self._speeds.engine_speed(instance.service)
--- a/catkinpin/core/placement/shortlist.py
+++ b/catkinpin/core/placement/shortlist.py
@@ -36,7 +36,7 @@
 
     Args:
         servers: Servers of the service.
-        prompt: Prompt of the request; empty for plain services.
+        prompt: Prompt of the request; empty if no model gets it.
         cached_parts: Returns the prompt parts that a server is assumed to have
             cached.
         rng: Random generator for the sample.
--- a/catkinpin/core/placement/speeds.py
+++ b/catkinpin/core/placement/speeds.py
@@ -9,9 +9,10 @@
 
 Each gateway therefore learns from the answers that pass through it: per
 service, the time per prompt token, the time per generated token and its growth
-with concurrent requests; per route, the time of a plain call; and per server,
-how much slower it is than its service. All values are bounded and start from a
-prior in the middle of the range of engines.
+with concurrent requests; per route, the time of a plain call, which is one to
+an application service rather than a model; and per server, how much slower
+it is than its service. All values are bounded and start from a prior in the
+middle of the range of engines.
 """
 
 from __future__ import annotations
@@ -56,13 +57,13 @@
 # The slowdown of a server without recent answers decays: the server may have
 # recovered, but gets too little work to show it.
 _SLOWDOWN_HALF_LIFE_MS = 4_000
-# Weight of a new plain call in the moving average of its route, and the
-# multiple of the average at which the time of a single call is capped.
+# Weight of a new plain call in the moving average of its route's call times, and
+# the cap of a single call's time, as a multiple of that average.
 _PLAIN_CALL_WEIGHT = 0.05
 _PLAIN_CALL_CAP_RATIO = 4.0
-# Gaps between events that a sample of the token time needs at least, and the
-# quantile of the gaps that is used. Longer gaps include the prefill of other
-# requests.
+# A gap is the time between two events of a streamed answer. The token time is
+# taken from at least so many gaps, at this quantile; longer gaps include the
+# prefill of other requests.
 _MIN_GAPS = 3
 _GAP_QUANTILE = 0.25
 
@@ -154,11 +155,11 @@
         )
 
     def learn(self, sample: StreamTimings) -> float:
-        """Learns from an answer.
+        """Updates the service's learned speed with the timings of an answer.
 
         Returns:
-            The ratio of its token time to the expected one, 0 if the answer
-            has too few gaps.
+            Measured divided by expected time per generated token; 0 if the
+            answer has too few events to measure it.
         """
         if sample.prefilled_tokens is not None and not sample.waiting:
             self._first.add(sample.prefilled_tokens, sample.first_ms)
@@ -221,7 +222,7 @@
             log_slowdown.at_ms = now_ms
 
     def record_plain_call(self, route: str, took_ms: float) -> None:
-        """Learns from the answer to a plain call."""
+        """Updates the route's average with the time of a plain call."""
         average_ms = self.plain_ms(route)
         took_ms = min(took_ms, _PLAIN_CALL_CAP_RATIO * average_ms)
         new_average_ms = (
--- a/catkinpin/core/placement/unresponsive.py
+++ b/catkinpin/core/placement/unresponsive.py
@@ -1,4 +1,4 @@
-"""Detects unresponsive plain servers and shares them among the gateways.
+"""Detects unresponsive application servers and informs all gateways.
 
 An unresponsive server accepts requests, answers none and still passes its
 health checks. Each of many gateways would lose a call of its own before it
@@ -45,7 +45,7 @@
 
 
 class PendingCalls:
-    """The plain calls of one gateway that have no answer yet."""
+    """Unanswered calls of one gateway to application services."""
 
     def __init__(self) -> None:
         self._calls: dict[str, _PendingCall] = {}
--- a/catkinpin/core/programs/admissions.py
+++ b/catkinpin/core/programs/admissions.py
@@ -52,7 +52,7 @@
             del self._programs[key.program_key]
 
     def find_proposed(self, key: CallKey) -> Begin | None:
-        """Returns the begin whose record is proposed, or None."""
+        """Returns the `Begin` of a proposed call, or None."""
         return self._proposed.get(key)
 
     def find_known(self, key: CallKey) -> Call | ClosedCall | Begin | None:
@@ -110,6 +110,6 @@
         return begin.seq in (0, program.next_seq)
 
     def find_begin(self, key: CallKey) -> Begin | None:
-        """Returns the begin of an open or proposed call, or None."""
+        """Returns the `Begin` of an open or proposed call, or None."""
         found = self._shard.find_open(key)
         return found[1].begin if found is not None else self._proposed.get(key)
--- a/catkinpin/core/programs/explanations.py
+++ b/catkinpin/core/programs/explanations.py
@@ -107,6 +107,7 @@
 
 
 def _candidate_from_cost(cost: Cost) -> Candidate:
+    """Returns an operator's view of a server that was considered."""
     server = cost.server
     return Candidate(
         server=server.report.server,
--- a/catkinpin/core/programs/incarnations.py
+++ b/catkinpin/core/programs/incarnations.py
@@ -42,7 +42,7 @@
 
 
 class Incarnations:
-    """Finds incarnations that have crashed, and orders releases of memory.
+    """Finds crashed servers, and lets servers drop caches of ended programs.
 
     Args:
         state: the shard's state, which is only read.
--- a/catkinpin/core/programs/program.py
+++ b/catkinpin/core/programs/program.py
@@ -82,7 +82,7 @@
     Attributes:
         record_index: log index of the record that holds the answer.
         refusal: the final answer if it is not a server's.
-        unknown: id of the attempt whose outcome is unknown, or empty.
+        unknown: id of the call's attempt if its outcome is unknown, else empty.
     """
 
     seq: int
--- a/catkinpin/core/programs/rules.py
+++ b/catkinpin/core/programs/rules.py
@@ -92,7 +92,8 @@
     """Returns whether a record has the request's messages and an answer.
 
     If an entry confused two calls, one program's messages would get into the
-    other's history. The digests that it sent with the begin reveal that.
+    other's history. To detect that, the messages are compared with the digests
+    in the call's `Begin` message.
     """
     if begin.kind != "model":
         return not record.messages
--- a/catkinpin/core/requests/calls.py
+++ b/catkinpin/core/requests/calls.py
@@ -32,9 +32,9 @@
         budget: Tokens that the whole program may generate; -1 for no limit.
         prompt_tokens: Length of the prompt.
         max_tokens: Limit of the tokens that this request generates; 0 for a
-            plain call.
+            call to an application service.
         prompt: Parts of the prompt, in order.
-        previous: ID of the turn that it continues, empty for a new chain.
+        previous: ID of the turn that it continues, empty if none.
         affinity: Affinity key; requests with the same key are faster on the
             same server.
         resume_at: ID of the last event that the caller received; empty to
@@ -80,7 +80,8 @@
 
     Attributes:
         attempt: ID of the request that it answers, empty if it names none.
-        is_sealed: Whether the answer carries a seal of the server.
+        is_sealed: Whether the answer has the header by which the server vouches
+            for it, `X-Response-Seal`.
         not_run: Whether the server declares that it did not run the request.
         load: Load that the server reports, None if it reports none.
     """
