--- a/catkinpin/core/placement/speeds.py
+++ b/catkinpin/core/placement/speeds.py
@@ -57,8 +57,8 @@
 # The slowdown of a server without recent answers decays: the server may have
 # recovered, but gets too little work to show it.
 _SLOWDOWN_HALF_LIFE_MS = 4_000
-# Weight of a new plain call in the moving average of its route's call times, and
-# the cap of a single call's time, as a multiple of that average.
+# Weight of a new plain call in the moving average of its route's call times,
+# and the cap of a single call's time, as a multiple of that average.
 _PLAIN_CALL_WEIGHT = 0.05
 _PLAIN_CALL_CAP_RATIO = 4.0
 # A gap is the time between two events of a streamed answer. The token time is
