--- a/catkinpin/adapters/gateway/timings.py
+++ b/catkinpin/adapters/gateway/timings.py
@@ -71,7 +71,7 @@
             choice.cached_tokens == prompt_tokens - new_tokens
         )
         return StreamTimings(
-            read_tokens=new_tokens if is_known else None,
+            prefilled_tokens=new_tokens if is_known else None,
             first_ms=(self.first_event_s - self.sent_s) * _MS_PER_S,
             gaps_ms=self.gaps_ms,
             concurrent=max(0, self.load.running - 1),
--- a/catkinpin/core/operations/leader.py
+++ b/catkinpin/core/operations/leader.py
@@ -160,7 +160,7 @@
         if up or gone:
             record = changes.ProcessesChanged(at_ms=wall_ms, up=up, gone=gone)
             commands.append(Propose(record))
-        for offer in self._orders.take_due_offers(now_ms):
+        for offer in self._orders.create_due_offers(now_ms):
             entry = self._choose_entry(offer)
             if entry is not None:
                 commands.append(Send(entry, offer))
@@ -308,7 +308,7 @@
         return [Propose(record)]
 
     def _find_departed_servers(self, run: PlanRun) -> list[str]:
-        """Returns a problem for each server of the forecast that has left."""
+        """Returns a problem for each server the plan needs that has left."""
         present = {r.server for r in self._get_view().servers if not r.leaving}
         return [
             f"server {name}: counted on by the plan, has left since"
