--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -16,7 +16,7 @@
 import aiohttp
 
 from tests import ports, processes
-from tests.fakes.rawserver import RawServer, Seen
+from tests.fakes.rawserver import RawServer, ReceivedRequest
 
 if TYPE_CHECKING:
     import pathlib
@@ -97,7 +97,7 @@
         # Where the server says it is; a test may put a proxy before it.
         self.server_address = ""
         # Called with each request that reaches the server.
-        self.on_request: Callable[[Seen], None] = lambda _: None
+        self.on_request: Callable[[ReceivedRequest], None] = lambda _: None
         # Called once all processes were started for the first time.
         self.on_first_start: Callable[[], Awaitable[None]] | None = None
         # Of the host that lost its disk last: times that it had registered as
@@ -360,7 +360,9 @@
             await asyncio.sleep(_POLL_S)
         return False
 
-    async def _stream(self, seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def _stream(
+        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         self.on_request(seen)
         name = seen.headers["x-attempt-id"]
         if seen.target.startswith("/u/"):
--- a/tests/fakes/gatewayrig.py
+++ b/tests/fakes/gatewayrig.py
@@ -40,7 +40,7 @@
 from catkinpin.core.placement.urgency import ProgramStatus
 from catkinpin.core.requests.calls import AnswerFacts, RouteCall
 from tests.fakes.instances import instance
-from tests.fakes.rawserver import RawServer, Seen, sealed
+from tests.fakes.rawserver import RawServer, ReceivedRequest, sealed_answer
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -48,7 +48,7 @@
     from catkinpin.core.control.accounts import ClientAccount
     from catkinpin.core.control.ledger import Denial
 
-    Answer = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+    Answer = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 WAIT_S = 8.0
 
@@ -254,7 +254,7 @@
 
     def runs(self) -> int:
         """Returns how many requests reached a server."""
-        return sum(len(server.seen) for server in self.servers)
+        return sum(len(server.requests) for server in self.servers)
 
     async def ask(
         self, name: str = "q1", body: bytes = b"in", **headers: str
@@ -305,23 +305,23 @@
     return out, False
 
 
-async def good(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def good(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Answers as it should."""
-    writer.write(sealed(seen, b"fine"))
+    writer.write(sealed_answer(seen, b"fine"))
 
 
-async def full(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def full(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Refuses, as not run."""
     status = "503 Service Unavailable"
-    writer.write(sealed(seen, b"", status, Not_Run="1"))
+    writer.write(sealed_answer(seen, b"", status, Not_Run="1"))
 
 
-async def dies(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def dies(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Breaks the connection off."""
     writer.transport.abort()
 
 
-async def mute(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def mute(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Never answers."""
     await asyncio.sleep(WAIT_S)
 
@@ -333,7 +333,7 @@
     )
 
 
-def stream(seen: Seen, *parts: bytes, end: bool = True) -> bytes:
+def stream(seen: ReceivedRequest, *parts: bytes, end: bool = True) -> bytes:
     """Returns an answer of such parts, without its end where `end` is not."""
     name = seen.headers["request-id"]
     head = (
@@ -344,6 +344,6 @@
     return head + chunks + (b"0\r\n\r\n" if end else b"")
 
 
-async def streams(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def streams(seen: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Streams three events and ends."""
     writer.write(stream(seen, events(1, 3)))
--- a/tests/fakes/rawserver.py
+++ b/tests/fakes/rawserver.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass
-class Seen:
+class ReceivedRequest:
     """A request that reached the server.
 
     Attributes:
@@ -31,7 +31,7 @@
     """Collects one request after the other."""
 
     def __init__(self) -> None:
-        self.found: list[Seen] = []
+        self.found: list[ReceivedRequest] = []
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
@@ -53,7 +53,9 @@
     def on_message_complete(self) -> None:
         method = self._parser.get_method().decode()
         self.found.append(
-            Seen(method, self._target.decode(), self._headers, self._body)
+            ReceivedRequest(
+                method, self._target.decode(), self._headers, self._body
+            )
         )
 
 
@@ -67,11 +69,13 @@
 
     def __init__(
         self,
-        answer: Callable[[Seen, asyncio.StreamWriter], Awaitable[None]],
+        answer: Callable[
+            [ReceivedRequest, asyncio.StreamWriter], Awaitable[None]
+        ],
     ) -> None:
         self._answer = answer
         self._server: asyncio.Server | None = None
-        self.seen: list[Seen] = []
+        self.requests: list[ReceivedRequest] = []
         self.connections = 0
         self.address = ""
 
@@ -97,7 +101,7 @@
                 while parser.found:
                     seen = parser.found.pop(0)
                     seen.reader = reader
-                    self.seen.append(seen)
+                    self.requests.append(seen)
                     await self._answer(seen, writer)
                     await writer.drain()
         except ConnectionError:
@@ -106,8 +110,8 @@
             writer.close()
 
 
-def sealed(
-    seen: Seen, body: bytes, status: str = "200 OK", **more: str
+def sealed_answer(
+    seen: ReceivedRequest, body: bytes, status: str = "200 OK", **more: str
 ) -> bytes:
     """Returns a whole answer that the server vouches for."""
     headers = {
--- a/tests/soakplatform.py
+++ b/tests/soakplatform.py
@@ -35,7 +35,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from tests.fakes.rawserver import Seen
+    from tests.fakes.rawserver import ReceivedRequest
 
 # Seeds from here on also kill everything at once; those before stay what they
 # were when they were played.
@@ -139,7 +139,7 @@
     def _problem(self, text: str) -> None:
         self.found.problems.append(text)
 
-    def _turn_result(self, seen: Seen) -> None:
+    def _turn_result(self, seen: ReceivedRequest) -> None:
         attempt = seen.headers["x-attempt-id"]
         self.found.runs[attempt] += 1
         expected = self._bodies.get(attempt)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -109,7 +109,7 @@
             await rig.start(good)
             got = await rig.ask(Key=_KEY, Account="forged")
             self.assertEqual(200, got.status)
-            seen = rig.servers[0].seen[0]
+            seen = rig.servers[0].requests[0]
             self.assertNotIn("key", seen.headers)
             self.assertEqual("a", seen.headers["account"])
             await rig.stop()
@@ -155,7 +155,7 @@
             await rig.start(good)
             got = await rig.ask()
             self.assertEqual(200, got.status)
-            self.assertNotIn("account", rig.servers[0].seen[0].headers)
+            self.assertNotIn("account", rig.servers[0].requests[0].headers)
             await rig.stop()
 
         self.play(work())
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -40,7 +40,7 @@
             self.assertEqual(200, await system.turn("a"))
             self.assertEqual(200, await system.turn("b", "a", "gateway-2"))
             self.assertEqual(200, await system.turn("c", "b"))
-            body = system.model.seen[-1].body
+            body = system.model.requests[-1].body
             self.assertEqual(b"<a>a-1\na-2\n<b>b-1\nb-2\n<c>", body)
             self.assertEqual(404, await system.turn("d", "never"))
             spent = await system.turn("e", "c", X_Token_Budget="3")
@@ -76,7 +76,7 @@
             self.assertEqual(200, await system.turn("a"))
             system.kill(system.leader())
             self.assertTrue(await system.served("b", "a"))
-            body = system.model.seen[-1].body
+            body = system.model.requests[-1].body
             self.assertTrue(body.startswith(b"<a>a-1\na-2\n<b."))
 
         self.play(work)
@@ -101,7 +101,7 @@
             system.kill("gateway-1")
             system.start("gateway-1")
             self.assertTrue(await system.served("e", "d"))
-            body = system.model.seen[-1].body
+            body = system.model.requests[-1].body
             for name in names:
                 self.assertIn(f"<{name}>{name}-1\n{name}-2\n".encode(), body)
 
@@ -260,7 +260,7 @@
             await self._until_refused(system, "")
             acme, other = _bearer("k-acme"), _bearer("k-other")
             self.assertEqual(200, await system.turn("a", **acme))
-            seen = system.model.seen[-1].headers
+            seen = system.model.requests[-1].headers
             self.assertEqual("acme", seen["x-tenant"])
             self.assertNotIn("authorization", seen)
             stolen = await system.turn("b", "a", "gateway-2", **other)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,12 +9,12 @@
 from catkinpin.core.control.routes import (
     RouteKind,
 )
-from tests.fakes.rawserver import Seen, sealed
+from tests.fakes.rawserver import ReceivedRequest, sealed_answer
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    Answer = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+    Answer = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 from tests.fakes.gatewaycase import GatewayCase
 from tests.fakes.gatewayrig import (
@@ -80,7 +80,7 @@
             got = await rig.ask(body=b"\x00raw", Deadline="900")
             self.assertEqual((200, b"fine"), (got.status, got.body))
             self.assertEqual("yes", got.headers["sealed"])
-            (seen,) = rig.servers[0].seen
+            (seen,) = rig.servers[0].requests
             self.assertEqual("/x/y?z=1", seen.target)
             self.assertEqual(b"\x00raw", seen.body)
             self.assertEqual("s0", seen.headers["expect-server"])
@@ -170,8 +170,10 @@
     def test_answer_without_a_seal_is_no_success(self) -> None:
         """Something answers 200 that is not the server's own answer."""
 
-        async def unsealed(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(sealed(seen, b"forged", Sealed=""))
+        async def unsealed(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(sealed_answer(seen, b"forged", Sealed=""))
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
@@ -188,8 +190,10 @@
         Passed on, the status would let the caller repeat what has run.
         """
 
-        async def busy(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(sealed(seen, b"", "503 Service Unavailable"))
+        async def busy(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(sealed_answer(seen, b"", "503 Service Unavailable"))
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
@@ -253,7 +257,9 @@
         """A caller goes away; its server would work on for nobody."""
         closed = asyncio.Event()
 
-        async def watch(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def watch(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             assert seen.reader is not None
             await seen.reader.read()
             closed.set()
@@ -281,7 +287,9 @@
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
 
-            async def crash(seen: Seen, writer: asyncio.StreamWriter) -> None:
+            async def crash(
+                seen: ReceivedRequest, writer: asyncio.StreamWriter
+            ) -> None:
                 await rig.servers[0].stop()
                 writer.transport.abort()
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -16,7 +16,7 @@
     ServerLimits,
 )
 from catkinpin.verdicts import Verdict
-from tests.fakes.rawserver import RawServer, Seen, sealed
+from tests.fakes.rawserver import RawServer, ReceivedRequest, sealed_answer
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
@@ -69,11 +69,15 @@
         hand one caller what another one asked for.
         """
 
-        async def twice(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(sealed(seen, seen.headers["request-id"].encode()))
+        async def twice(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(
+                sealed_answer(seen, seen.headers["request-id"].encode())
+            )
             await writer.drain()
             await asyncio.sleep(0.02)
-            writer.write(sealed(seen, b"again"))
+            writer.write(sealed_answer(seen, b"again"))
 
         async def play() -> None:
             server = RawServer(twice)
@@ -95,7 +99,9 @@
         the same, and the server would work for nobody.
         """
 
-        async def never(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def never(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             raise AssertionError("nothing was sent")
 
         async def play() -> None:
@@ -123,8 +129,10 @@
         its caller would get no answer to a call that must not be repeated.
         """
 
-        async def answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(sealed(seen, b"x"))
+        async def answer(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(sealed_answer(seen, b"x"))
 
         async def play() -> None:
             server = RawServer(answer)
@@ -149,10 +157,12 @@
     def test_answer_to_an_older_request_is_passed_over(self) -> None:
         """An old answer arrives just where the next one is expected."""
 
-        async def late(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            old = Seen("POST", "/x", {"request-id": "old"}, b"")
-            writer.write(sealed(old, b"not yours"))
-            writer.write(sealed(seen, b"yours"))
+        async def late(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            old = ReceivedRequest("POST", "/x", {"request-id": "old"}, b"")
+            writer.write(sealed_answer(old, b"not yours"))
+            writer.write(sealed_answer(seen, b"yours"))
 
         async def play() -> None:
             server = RawServer(late)
@@ -170,8 +180,10 @@
     def test_answer_that_ends_early_is_not_whole(self) -> None:
         """A server dies within its answer; its length says so."""
 
-        async def half(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(sealed(seen, b"0123456789")[:-4])
+        async def half(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(sealed_answer(seen, b"0123456789")[:-4])
             writer.close()
 
         async def play() -> None:
@@ -193,7 +205,9 @@
         Both look alike but for the way in which the connection ends.
         """
 
-        async def unframed(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def unframed(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             name = seen.headers["request-id"]
             head = f"HTTP/1.1 200 OK\r\nRequest-Id: {name}\r\n\r\npart"
             writer.write(head.encode())
@@ -216,7 +230,9 @@
     def test_bytes_that_are_no_answer_end_the_connection(self) -> None:
         """A faulty server sends something that is not HTTP."""
 
-        async def garbage(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def garbage(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(b"\x00\x01 nonsense\r\n\r\n")
 
         async def play() -> None:
@@ -232,7 +248,9 @@
     def test_connections_to_a_server_are_bounded(self) -> None:
         """A server resets what goes beyond its limit, requests included."""
 
-        async def never(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def never(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             await asyncio.sleep(_WAIT_S)
 
         async def play() -> None:
--- a/tests/test_placed.py
+++ b/tests/test_placed.py
@@ -37,7 +37,7 @@
         async def work() -> None:
             rig = await _rig(streams, streams, streams, placed="s2")
             self.assertEqual([200] * _TURNS, await _ask_turns(rig))
-            self.assertEqual(_TURNS, len(rig.servers[2].seen))
+            self.assertEqual(_TURNS, len(rig.servers[2].requests))
             await rig.stop()
 
         self.play(work())
@@ -63,7 +63,7 @@
             )
             rig.view.fleet.apply(draining)
             self.assertEqual([200] * _TURNS, await _ask_turns(rig))
-            self.assertEqual(0, len(rig.servers[0].seen))
+            self.assertEqual(0, len(rig.servers[0].requests))
             await rig.stop()
 
         self.play(work())
@@ -79,7 +79,7 @@
             )
             rig.view.fleet.apply(other)
             self.assertEqual([200] * _TURNS, await _ask_turns(rig))
-            self.assertEqual(0, len(rig.servers[0].seen))
+            self.assertEqual(0, len(rig.servers[0].requests))
             await rig.stop()
 
         self.play(work())
@@ -92,8 +92,8 @@
         async def work() -> None:
             rig = await _rig(dies, streams, placed="s0")
             await _ask_turns(rig)
-            self.assertLess(len(rig.servers[0].seen), _TURNS)
-            self.assertGreater(len(rig.servers[1].seen), 0)
+            self.assertLess(len(rig.servers[0].requests), _TURNS)
+            self.assertGreater(len(rig.servers[1].requests), 0)
             await rig.stop()
 
         self.play(work())
@@ -106,7 +106,7 @@
             await rig.servers[0].stop()
             await asyncio.sleep(0.05)
             self.assertEqual([200] * _TURNS, await _ask_turns(rig))
-            self.assertEqual(_TURNS, len(rig.servers[1].seen))
+            self.assertEqual(_TURNS, len(rig.servers[1].requests))
             await rig.stop()
 
         self.play(work())
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -11,12 +11,12 @@
     RouteKind,
 )
 from catkinpin.core.placement.urgency import ProgramStatus
-from tests.fakes.rawserver import Seen, sealed
+from tests.fakes.rawserver import ReceivedRequest, sealed_answer
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    Answer = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+    Answer = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 from tests.fakes.gatewaycase import GatewayCase
 from tests.fakes.gatewayrig import (
@@ -51,7 +51,7 @@
             got = await asking
             self.assertTrue(got.whole)
             self.assertEqual(events(1, 3), got.body)
-            self.assertEqual(b"before in", rig.servers[0].seen[0].body)
+            self.assertEqual(b"before in", rig.servers[0].requests[0].body)
             self.assertEqual([b"ine1\ne2\ne3\n"], rig.turns.finished)
             self.assertEqual([], rig.turns.settled)
             await rig.stop()
@@ -65,8 +65,10 @@
         failed while the other engine had room.
         """
 
-        async def fails(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(sealed(seen, b"", "500 Failed"))
+        async def fails(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(sealed_answer(seen, b"", "500 Failed"))
 
         async def work() -> None:
             rig = Rig(RouteKind.STREAM, max_attempts=1)
@@ -86,11 +88,13 @@
         """Now and then a tool answers 500 to a call that is wrong itself."""
         count = 0
 
-        async def some_fail(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def some_fail(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             nonlocal count
             count += 1
             status = "500 Failed" if count % 2 else "200 OK"
-            writer.write(sealed(seen, b"x", status))
+            writer.write(sealed_answer(seen, b"x", status))
 
         async def work() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, has_engine=False)
@@ -140,7 +144,9 @@
     def test_broken_stream_settles_what_the_caller_got(self) -> None:
         """A server dies within a turn that may not be resumed."""
 
-        async def half(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def half(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             part = events(1, 2) + b"id: 3\nda"
             writer.write(stream(seen, part, end=False))
             await writer.drain()
@@ -162,7 +168,9 @@
     def test_resumable_stream_goes_on_at_another_server(self) -> None:
         """A server dies within an event; the caller sees each event once."""
 
-        async def first(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def first(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             if resumed := seen.headers.get("resume-at"):
                 writer.write(stream(seen, events(int(resumed) + 1, 4)))
                 return
@@ -189,7 +197,9 @@
         Broken off, an answer that was only late would be lost.
         """
 
-        async def slow(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def slow(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(stream(seen, events(1, 1), end=False))
             await writer.drain()
             await asyncio.sleep(2.0)
--- a/tests/test_unresponsive.py
+++ b/tests/test_unresponsive.py
@@ -119,16 +119,16 @@
             rig = Rig(RouteKind.NON_IDEMPOTENT, has_engine=False)
             await rig.start(mute, good)
             hanging: list[asyncio.Future[Answered]] = []
-            while not rig.servers[0].seen:
+            while not rig.servers[0].requests:
                 name = f"h{len(hanging)}"
                 hanging.append(asyncio.ensure_future(rig.ask(name)))
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.5)
-            before = len(rig.servers[0].seen)
+            before = len(rig.servers[0].requests)
             for number in range(12):
                 got = await rig.ask(f"q{number}")
                 self.assertEqual(200, got.status)
-            self.assertEqual(before, len(rig.servers[0].seen))
+            self.assertEqual(before, len(rig.servers[0].requests))
             for one in hanging:
                 one.cancel()
             await rig.stop()
