--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration behind `make demo`."""
+"""Demonstration that `make demo` runs."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Runs both users' services as fakes, one session and one order, then ends."""
+"""Runs one session and one order against fakes of both users' servers."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 from tests import base
 
-_TURNS = (
+_TURN_TEXTS = (
     "We are a sports club in Zug. Which calls fit us?",
     "Check the cantonal call for youth work.",
     "When is the federal deadline, and what must we file?",
 )
-_REGIONS = (
+_ENTRY_REGIONS = (
     ("entry-1", "ch-nord"),
     ("entry-2", "ch-nord"),
     ("entry-3", "ch-west"),
@@ -31,18 +31,18 @@
     folder = pathlib.Path(tempfile.mkdtemp(prefix="catkinpin-demo-"))
     try:
         async with base.Cluster(folder) as cluster:
-            await _start(cluster)
-            traceparent = await _advisory_session(cluster)
-            await _kiosk_order(cluster)
-            _show_trace(folder / "spans.jsonl", traceparent)
+            await _start_cluster(cluster)
+            trace_id = await _run_advisory_session(cluster)
+            await _run_kiosk_order(cluster)
+            _print_trace(folder / "spans.jsonl", trace_id)
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
-async def _start(cluster: base.Cluster) -> None:
+async def _start_cluster(cluster: base.Cluster) -> None:
     print("Starting three replicas, three entries and both users' servers ...")
     cluster.add_replicas(3)
-    for name, region in _REGIONS:
+    for name, region in _ENTRY_REGIONS:
         cluster.add_entry(name, region=region)
     for number in range(5):
         cluster.add_fake(
@@ -54,36 +54,36 @@
         )
     cluster.add_fake("service", "kiosk-app-0", region="ch-nord")
     await cluster.apply(base.config())
-    for name, _ in _REGIONS:
+    for name, _ in _ENTRY_REGIONS:
         await cluster.ready(name)
     await cluster.serving("entry-1", "berater", "model")
     await cluster.serving("entry-1", "melder", "model")
     await cluster.serving("entry-1", "kiosk-app", "service")
 
 
-async def _advisory_session(cluster: base.Cluster) -> str:
+async def _run_advisory_session(cluster: base.Cluster) -> str:
     print("\nFörderwacht: one advisory session")
     trace_id = "4bf92f3577b34da6a3ce929d0e0e4736"
     traceparent = f"00-{trace_id}-00f067aa0ba902b7-01"
     history: list[Any] = []
-    began = time.monotonic()
-    for turn, text in enumerate(_TURNS):
+    started_s = time.monotonic()
+    for turn, text in enumerate(_TURN_TEXTS):
         history.append(base.user(text))
         headers = {"Catkinpin-Program": "advisory-7"}
         if turn == 0:
             headers["traceparent"] = traceparent
-        entry = _REGIONS[turn % len(_REGIONS)][0]
+        entry = _ENTRY_REGIONS[turn % len(_ENTRY_REGIONS)][0]
         reply = await cluster.chat(entry, "berater", history, headers=headers)
         message = reply.json["choices"][0]["message"]
         print(f"  {entry}: {text}\n    -> {message['content'][:60]} ...")
         history.append(message)
-    print(f"  program latency: {time.monotonic() - began:.3f} s")
+    print(f"  program latency: {time.monotonic() - started_s:.3f} s")
     return trace_id
 
 
-async def _kiosk_order(cluster: base.Cluster) -> None:
+async def _run_kiosk_order(cluster: base.Cluster) -> None:
     print("\nKunci Jaya: one order, sent again after a lost answer")
-    began = time.monotonic()
+    started_s = time.monotonic()
     for step in ("payments/capture", "machine/cut"):
         headers = {
             "Catkinpin-Program": "order-3",
@@ -94,20 +94,24 @@
                 entry, "kiosk-app", step, "blank KJ-7", headers=headers
             )
             print(f"  {entry}: {step} -> {reply.status} {reply.verdict}")
-    print(f"  program latency: {time.monotonic() - began:.3f} s")
-    seen = await cluster.look("kiosk-app-0")
+    print(f"  program latency: {time.monotonic() - started_s:.3f} s")
+    server_state = await cluster.look("kiosk-app-0")
     for step in ("payments/capture", "machine/cut"):
-        print(f"  effects of {step}: {seen['effects'][f'order-3-{step}']}")
+        print(
+            f"  effects of {step}: {server_state['effects'][f'order-3-{step}']}"
+        )
 
 
-def _show_trace(path: pathlib.Path, trace_id: str) -> None:
+def _print_trace(path: pathlib.Path, trace_id: str) -> None:
     print(f"\nSpans of the session's first call (trace {trace_id})")
     spans = [json.loads(line) for line in path.read_text().splitlines()]
-    ours = [s for s in spans if s["context"]["trace_id"] == f"0x{trace_id}"]
-    for span in sorted(ours, key=lambda span: str(span["start_time"])):
+    session_spans = [
+        s for s in spans if s["context"]["trace_id"] == f"0x{trace_id}"
+    ]
+    for span in sorted(session_spans, key=lambda span: str(span["start_time"])):
         process = span["resource"]["attributes"]["service.name"]
-        times = f"{span['start_time'][17:]} - {span['end_time'][17:]}"
-        print(f"  {process:10} {span['name']:14} {times}")
+        interval = f"{span['start_time'][17:]} - {span['end_time'][17:]}"
+        print(f"  {process:10} {span['name']:14} {interval}")
 
 
 if __name__ == "__main__":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -103,7 +103,7 @@
             " (b'Kv-Fetch', b'z'), (b'X-Attempt-Id', b'a'),"
             " (b'X-Expect-Instance', b'other'), (b'Connection', b'close'),"
             " (b'X-Deadline-Ms', b'900')])\n"
-            "codec = names.codec()\n"
+            "codec = names.header_codec()\n"
             "call = codec.call(told)\n"
             "sent = codec.to_server(told, call, Sending('i1', 700))\n"
             "print(sorted((k + b'=' + v).decode() for k, v in sent))\n"
@@ -125,7 +125,7 @@
             "from catkinpin.adapters.http.headers import Headers\n"
             "told = Headers([(b'authorization', b'bearer k1'),"
             " (b'X-Tenant', b'forged'), (b'X-Deadline-Ms', b'900')])\n"
-            "codec = names.codec()\n"
+            "codec = names.header_codec()\n"
             "call = dataclasses.replace(codec.call(told), account='acme')\n"
             "sending = Sending('i1', 700, hides_key=True)\n"
             "sent = codec.to_server(told, call, sending)\n"
@@ -148,7 +148,7 @@
             "from catkinpin.core.control import accounts\n"
             "def known(*values):\n"
             "    told = [(b'Authorization', v) for v in values]\n"
-            "    found = names.codec().call(Headers(told)).key_digest\n"
+            "    found = names.header_codec().call(Headers(told)).key_digest\n"
             "    return found == accounts.digest_of('k1')\n"
             "print([known(b'Bearer k1'), known(b'Basic k1'), known(b'Bearer'),"
             " known(), known(b'Bearer k1', b'Bearer k2')])\n"
@@ -162,7 +162,8 @@
         out = _inside(
             "import names\n"
             "from catkinpin.adapters.http.headers import Headers\n"
-            "call = names.codec().call(Headers([(b'X-Token-Usage', b'a,'),"
+            "call = names.header_codec().call("
+            "Headers([(b'X-Token-Usage', b'a,'),"
             " (b'X-Deadline-Ms', b'1e999'), (b'X-Prompt-Prefix', b',:,x:1'),"
             " (b'Cookie', b'a=b; X-Affinity-Key=17')]))\n"
             "print((call.deadline_ms, call.max_tokens, call.budget,"
@@ -194,7 +195,7 @@
             "born": 5,
             "new-field": [1],
         }
-        call = "documents.instance('i', {body!r})"
+        call = "documents.decode_announcement('i', {body!r})"
         self.assertFalse(self._refused(call, good))
         self.assertTrue(self._refused(call, b"\xff\x00"))
         self.assertTrue(self._refused(call, {**good, "state": "odd"}))
@@ -212,7 +213,7 @@
             "services": [],
             "tenants": [first],
         }
-        call = "documents.routing({body!r})"
+        call = "documents.decode_manifest({body!r})"
         self.assertFalse(self._refused(call, good))
         twin = {"name": "b", "api_keys": ["k1"]}
         twins = [first, twin]
