--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -1,4 +1,4 @@
-"""Keepers, stores and gateways as real processes on loopback addresses."""
+"""Runs keepers, stores and gateways as processes on loopback addresses."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
     from collections.abc import Awaitable, Callable
 
 _WAIT_S = 15.0
-_POLL_S = 0.03
-# A lost holder is noticed within a second, and a copy takes a part of one.
-_SETTLED_S = 4.0
-# A server that is silent for 15 s counts as gone.
-_BEAT_S = 1.0
-# Settings that say nothing to these tests, as the platform writes them.
-_COMMON = """
+_POLL_INTERVAL_S = 0.03
+# The loss of a copy's holder is detected within a second, and making another
+# copy takes less than a second.
+_COPY_QUIET_S = 4.0
+# A server that sends no announcement for 15 s counts as lost.
+_HEARTBEAT_INTERVAL_S = 1.0
+# Settings that these tests don't vary, in the platform's format.
+_COMMON_SETTINGS = """
 bootstrap = {first}
 [zones]
 a = "r"
@@ -51,23 +52,30 @@
 
 @dataclasses.dataclass
 class Host:
-    """A process, where it listens, and its folder."""
+    """A process of the deployment.
+
+    Attributes:
+        ip: address that it listens on.
+        folder: folder for its data.
+        process: the running process, None before the first start.
+        is_first_start: whether the next start is the first of the system.
+    """
 
     name: str
     role: str
     ip: str
     folder: pathlib.Path
     process: subprocess.Popen[bytes] | None = None
-    first: bool = True
+    is_first_start: bool = True
 
 
 class Deployment:
-    """Three keepers, stores and gateways, and a model server.
+    """Three keepers, some stores and gateways, and a model server.
 
     Args:
-        folder: for settings, logs and data.
-        gateways: how many.
-        stores: how many.
+        folder: folder for settings, logs and data.
+        gateways: number of gateways.
+        stores: number of stores.
     """
 
     def __init__(
@@ -75,35 +83,39 @@
     ) -> None:
         self._folder = folder
         self._ports = ports.free_ports(4)
-        # Addresses of its own, so that several runs don't meet.
-        net = f"127.{20 + os.getpid() % 200}.{os.getpid() // 200 % 250}"
+        # Each run uses a network of its own, so that concurrent runs don't
+        # collide.
+        network = f"127.{20 + os.getpid() % 200}.{os.getpid() // 200 % 250}"
         self.hosts: dict[str, Host] = {}
         roles = [("keeper", 3), ("store", stores), ("gateway", gateways)]
-        last = 1
+        last_octet = 1
         for role, count in roles:
             for number in range(1, count + 1):
-                last += 1
+                last_octet += 1
                 name = f"{role}-{number}"
                 data = folder / name
-                self.hosts[name] = Host(name, role, f"{net}.{last}", data)
-        self.model = RawServer(self._stream)
+                self.hosts[name] = Host(
+                    name, role, f"{network}.{last_octet}", data
+                )
+        self.model_server = RawServer(self._answer_request)
         self.version = 0
-        # Client accounts of the manifest; None: no request needs a key.
+        # Client accounts in the manifest; None: no request needs an API key.
         self.tenants: list[dict[str, Any]] | None = None
         self._sequence = 0
         self._session: aiohttp.ClientSession
-        self._beating: asyncio.Task[None]
-        self.gap_s = 0.0
-        # Where the server says it is; a test may put a proxy before it.
+        self._heartbeat_task: asyncio.Task[None]
+        self.chunk_gap_s = 0.0
+        # Address that the model server announces, e.g. that of a proxy; empty
+        # for its own.
         self.server_address = ""
-        # Called with each request that reaches the server.
+        # Called with each request that reaches the model server.
         self.on_request: Callable[[ReceivedRequest], None] = lambda _: None
-        # Called once all processes were started for the first time.
+        # Called once after all processes have started for the first time.
         self.on_first_start: Callable[[], Awaitable[None]] | None = None
-        # Of the host that lost its disk last: times that it had registered as
-        # a store, and had started, before.
-        self._seen = 0
-        self._starts = 0
+        # For the host that lost its disk last: how often it had registered as
+        # a store and had started before that.
+        self._registrations_before = 0
+        self._starts_before = 0
 
     async def __aenter__(self) -> Deployment:
         self._session = aiohttp.ClientSession()
@@ -111,27 +123,27 @@
             self.start(host.name)
         if self.on_first_start is not None:
             await self.on_first_start()
-        if not self.model.address:
-            await self.model.start()
-        await self.until(self.configure)
-        await self.until(self.send_heartbeat)
-        await self.until(self._knows_stores)
-        self._beating = asyncio.create_task(self._keep_beating())
+        if not self.model_server.address:
+            await self.model_server.start()
+        await self.wait_until(self.send_manifest)
+        await self.wait_until(self.send_heartbeat)
+        await self.wait_until(self._are_stores_registered)
+        self._heartbeat_task = asyncio.create_task(self._repeat_heartbeats())
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self._beating.cancel()
+        self._heartbeat_task.cancel()
         await self._session.close()
-        await self.model.stop()
+        await self.model_server.stop()
         for host in self.hosts.values():
             self.kill(host.name)
 
     def start(self, name: str) -> None:
-        """Starts a process."""
+        """Starts a process, after writing its settings file."""
         host = self.hosts[name]
         host.folder.mkdir(exist_ok=True)
         settings = self._folder / f"{name}.toml"
-        settings.write_text(self._settings(host))
+        settings.write_text(self._settings_text(host))
         env = dict(os.environ, PYTHONPATH=str(processes.ROOT))
         env["CATKINPIN_NODE_FILE"] = str(settings)
         with (self._folder / f"{name}.log").open("ab") as out:
@@ -142,10 +154,10 @@
                 stdout=out,
                 stderr=out,
             )
-        host.first = False
+        host.is_first_start = False
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
-        """Sends a signal, and waits for the end after SIGKILL."""
+        """Sends a signal to a running process; waits for the end if SIGKILL."""
         process = self.hosts[name].process
         if process is None or process.poll() is not None:
             return
@@ -154,84 +166,91 @@
             process.wait()
 
     def wipe(self, name: str) -> None:
-        """Takes a process's disk."""
+        """Kills a process and deletes its data folder."""
         self.kill(name)
-        self._seen = self._count("store", name)
-        self._starts = self._count_starts(name)
+        self._registrations_before = self._count_decisions("store", name)
+        self._starts_before = self._count_starts(name)
         shutil.rmtree(self.hosts[name].folder)
 
-    def log(self, name: str) -> list[dict[str, Any]]:
-        """Returns the decisions that a process has written."""
+    def read_log(self, name: str) -> list[dict[str, Any]]:
+        """Returns the decisions that a process has logged."""
         text = (self._folder / f"{name}.log").read_text()
         lines = [ln for ln in text.splitlines() if ln.startswith("{")]
         return [json.loads(line) for line in lines]
 
-    def leader(self) -> str:
-        """Returns the name of the keeper that leads, as it says itself."""
+    def find_leader(self) -> str:
+        """Returns the keeper that logged leadership in the newest term."""
         found = ""
         newest = -1
         for host in self.hosts.values():
             if host.role != "keeper":
                 continue
-            for line in self.log(host.name):
+            for line in self.read_log(host.name):
                 leads = line["decision"] == "leadership" and line["leading"]
                 if leads and line["term"] > newest:
                     newest, found = line["term"], host.name
         return found
 
-    async def _knows_stores(self) -> bool:
+    async def _are_stores_registered(self) -> bool:
         names = [h.name for h in self.hosts.values() if h.role == "store"]
-        return all(self._count("store", name) for name in names)
+        return all(self._count_decisions("store", name) for name in names)
 
-    async def repaired(self, name: str) -> None:
-        """Waits until a host that lost its disk is back and copies are made.
+    async def wait_repaired(self, name: str) -> None:
+        """Waits until a host that lost its disk is back and all data is copied.
 
-        How long that takes depends on the machine; so it counts as done once
-        the host belongs again and no copy was made for some seconds.
+        The time needed depends on the machine. The repair counts as complete
+        once the host has rejoined and no copy was made for some seconds.
         """
         host = self.hosts[name]
         kind = "leader" if host.role == "keeper" else "store"
 
-        async def belongs() -> bool:
-            if self._count_starts(name) == self._starts:
-                # What it wrote before it lost its disk says nothing.
+        async def has_rejoined() -> bool:
+            if self._count_starts(name) == self._starts_before:
+                # The log still ends with lines from before the disk was lost.
                 return False
             if kind == "leader":
-                lines = self.log(name)
+                lines = self.read_log(name)
                 starts = [ln["decision"] == "start" for ln in lines]
-                last = len(lines) - 1 - starts[::-1].index(True)
-                return any(ln["decision"] == kind for ln in lines[last:])
-            return self._count("store", name) > self._seen
+                last_start = len(lines) - 1 - starts[::-1].index(True)
+                return any(ln["decision"] == kind for ln in lines[last_start:])
+            return (
+                self._count_decisions("store", name)
+                > self._registrations_before
+            )
 
-        await self.until(belongs)
+        await self.wait_until(has_rejoined)
         before = -1
-        while before != self._count("copied"):
-            before = self._count("copied")
-            await asyncio.sleep(_SETTLED_S)
+        while before != self._count_decisions("copied"):
+            before = self._count_decisions("copied")
+            await asyncio.sleep(_COPY_QUIET_S)
 
     def _count_starts(self, name: str) -> int:
-        return sum(line["decision"] == "start" for line in self.log(name))
+        return sum(line["decision"] == "start" for line in self.read_log(name))
 
-    def _count(self, decision: str, store: str = "") -> int:
-        """Returns how many such lines the keepers have written."""
+    def _count_decisions(self, decision: str, store: str = "") -> int:
+        """Returns how often the keepers logged a decision about a store."""
         return sum(
             line["decision"] == decision and line.get("store", "") == store
             for host in self.hosts.values()
             if host.role == "keeper"
-            for line in self.log(host.name)
+            for line in self.read_log(host.name)
         )
 
-    async def until(self, work: Callable[[], Any]) -> Any:
-        """Repeats a call until it returns something true."""
+    async def wait_until(self, work: Callable[[], Any]) -> Any:
+        """Repeats a call until its result is true, and returns the result."""
         async with asyncio.timeout(_WAIT_S):
             while True:
                 with contextlib.suppress(OSError, aiohttp.ClientError):
                     if found := await work():
                         return found
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
+
+    async def send_manifest(self, **route: Any) -> bool:
+        """Sends a new manifest; returns whether a keeper accepted it.
 
-    async def configure(self, **route: Any) -> bool:
-        """Sends a manifest to any keeper; returns whether one took it."""
+        Args:
+            **route: changed fields of the manifest's first route.
+        """
         self.version += 1
         fields = {
             "name": "r",
@@ -249,7 +268,7 @@
             "resumable": False,
             **route,
         }
-        plain = {
+        unsafe_route = {
             **fields,
             "name": "u",
             "path_prefix": "/u/",
@@ -260,20 +279,20 @@
         service = {"name": "models", "max_conns": 50, "engine": engine}
         manifest: dict[str, Any] = {
             "version": self.version,
-            "routes": [fields, plain],
+            "routes": [fields, unsafe_route],
             "services": [service],
         }
         if self.tenants is not None:
             manifest["tenants"] = self.tenants
         body = json.dumps(manifest).encode()
-        return (await self.control("PUT", "/-/config", body))[0] == 200
+        return (await self.call_keeper("PUT", "/-/config", body))[0] == 200
 
     async def send_heartbeat(self) -> bool:
-        """Announces the model server."""
+        """Announces the model server; returns whether a keeper accepted it."""
         self._sequence += 1
         fields = {
             "service": "models",
-            "address": self.server_address or self.model.address,
+            "address": self.server_address or self.model_server.address,
             "zone": "a",
             "slots": 8,
             "state": "ready",
@@ -281,20 +300,24 @@
             "born": 1,
         }
         body = json.dumps(fields).encode()
-        status, _ = await self.control("PUT", "/-/instances/m1", body)
+        status, _ = await self.call_keeper("PUT", "/-/instances/m1", body)
         return status == 200
 
-    async def _keep_beating(self) -> None:
-        """Announces the model server again and again, as servers do."""
+    async def _repeat_heartbeats(self) -> None:
+        """Announces the model server once per interval, as servers do."""
         while True:
-            await asyncio.sleep(_BEAT_S)
+            await asyncio.sleep(_HEARTBEAT_INTERVAL_S)
             with contextlib.suppress(OSError, aiohttp.ClientError):
                 await self.send_heartbeat()
 
-    async def control(
+    async def call_keeper(
         self, method: str, path: str, body: bytes = b""
     ) -> tuple[int, bytes]:
-        """Calls the first keeper that answers without a 5xx."""
+        """Returns the first answer of a keeper with a status below 500.
+
+        Returns:
+            Status and body; if no keeper answers below 500, the last answer.
+        """
         got = (0, b"")
         for host in self.hosts.values():
             if host.role != "keeper":
@@ -312,24 +335,24 @@
                     return got
         return got
 
-    async def ready(self, gateway: str) -> int:
-        """Returns the status of a gateway's readiness."""
+    async def get_readiness(self, gateway: str) -> int:
+        """Returns the status of a gateway's readiness check."""
         url = f"http://{self.hosts[gateway].ip}:{self._ports[2]}/-/ready"
         async with self._session.get(url) as answer:
             return answer.status
 
     def url(self, gateway: str, path: str) -> str:
-        """Returns the URL at which a gateway takes callers."""
+        """Returns a gateway's URL for callers."""
         return f"http://{self.hosts[gateway].ip}:{self._ports[1]}{path}"
 
-    async def turn(
+    async def send_turn(
         self,
         name: str,
         previous: str = "",
         gateway: str = "gateway-1",
         **headers: str,
     ) -> int:
-        """Sends a turn; returns its status, 0 where the answer broke off."""
+        """Sends a turn; returns its status, 0 if the answer is incomplete."""
         fields = {
             "Host": "h.example",
             "X-Attempt-Id": name,
@@ -351,16 +374,18 @@
         except aiohttp.ClientPayloadError:
             return 0
 
-    async def served(self, name: str, previous: str = "") -> bool:
-        """Sends a turn again, under new ids, until it is served."""
+    async def retry_turn_until_served(
+        self, name: str, previous: str = ""
+    ) -> bool:
+        """Repeats a turn under new IDs; returns whether it was served."""
         for number in range(200):
             with contextlib.suppress(aiohttp.ClientError, OSError):
-                if await self.turn(f"{name}.{number}", previous) == 200:
+                if await self.send_turn(f"{name}.{number}", previous) == 200:
                     return True
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         return False
 
-    async def _stream(
+    async def _answer_request(
         self, seen: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         self.on_request(seen)
@@ -382,19 +407,19 @@
             part = f"id: {number}\ndata: {name}-{number}\n\n".encode()
             writer.write(b"%x\r\n%s\r\n" % (len(part), part))
             await writer.drain()
-            await asyncio.sleep(self.gap_s)
+            await asyncio.sleep(self.chunk_gap_s)
         writer.write(b"0\r\n\r\n")
 
-    def _settings(self, host: Host) -> str:
+    def _settings_text(self, host: Host) -> str:
         seeds = [h.ip for h in self.hosts.values() if h.role == "keeper"]
         peer, front, ready, control = self._ports
-        listed = ",".join(f'"{ip}:{control}"' for ip in seeds)
+        quoted_seeds = ",".join(f'"{ip}:{control}"' for ip in seeds)
         head = (
             f'node_name = "{host.name}"\nip = "{host.ip}"\nzone = "a"\n'
             f'region = "r"\nport_range = [{peer},{peer}]\n'
-            f'seeds = [{listed}]\ndata_dir = "{host.folder}"'
+            f'seeds = [{quoted_seeds}]\ndata_dir = "{host.folder}"'
         )
-        first = "true" if host.first else "false"
-        return head + _COMMON.format(
+        first = "true" if host.is_first_start else "false"
+        return head + _COMMON_SETTINGS.format(
             ip=host.ip, front=front, ready=ready, control=control, first=first
         )
--- a/tests/fakes/proxy.py
+++ b/tests/fakes/proxy.py
@@ -1,10 +1,16 @@
-"""A fault-injecting TCP proxy, steered at `/fake` on its control port.
+"""TCP proxy that injects faults, configured at `/fake` on its control port.
 
-Each direction (`up` towards the target, `down` towards the client) has a
-delay, a rate, silence for all connections, for those that are open when it is
-switched on or for the next so many, and a reset once so many bytes have
-passed. `cut` ends all connections and
-refuses new ones.
+The settings of each direction (`up` towards the target, `down` towards the
+client) are:
+
+    delay_ms: delay of each block of data
+    bytes_per_s: bandwidth, 0 for no limit
+    silent: drops the data of all connections
+    silent_open: drops the data of the connections that are open when it is set
+    silent_next: drops the data of so many of the next connections
+    reset_at: resets a connection after so many bytes, -1 for never
+
+`cut` resets all connections and refuses new ones.
 """
 
 from __future__ import annotations
@@ -19,107 +25,118 @@
 
 from tests.fakes import common
 
-_BUFFER = 65_536
+_READ_BYTES = 65_536
 
 
 class Proxy:
-    """State of the fake; `settings` can be changed while it runs."""
+    """Proxy with settings that can be changed while it runs."""
 
     def __init__(self, args: Any) -> None:
         self.args = args
-        self.pairs: set[Pair] = set()
+        self.pairs: set[ConnectionPair] = set()
         self.passed = {"up": 0, "down": 0}
         self.settings: dict[str, Any] = {"cut": False}
-        for way in ("up", "down"):
-            self.settings[f"{way}_delay_ms"] = 0
-            self.settings[f"{way}_bytes_per_s"] = 0
-            self.settings[f"{way}_silent"] = False
-            self.settings[f"{way}_silent_open"] = False
-            self.settings[f"{way}_silent_next"] = 0
-            self.settings[f"{way}_reset_at"] = -1
-
-    def steer(self, changes: dict[str, Any]) -> None:
-        """Changes settings, and acts on connections that are open."""
+        for direction in ("up", "down"):
+            self.settings[f"{direction}_delay_ms"] = 0
+            self.settings[f"{direction}_bytes_per_s"] = 0
+            self.settings[f"{direction}_silent"] = False
+            self.settings[f"{direction}_silent_open"] = False
+            self.settings[f"{direction}_silent_next"] = 0
+            self.settings[f"{direction}_reset_at"] = -1
+
+    def configure(self, changes: dict[str, Any]) -> None:
+        """Changes settings and applies them to open connections."""
         self.settings.update(changes)
         for pair in list(self.pairs):
-            for way in ("up", "down"):
-                if changes.get(f"{way}_silent_open"):
-                    pair.silent.add(way)
+            for direction in ("up", "down"):
+                if changes.get(f"{direction}_silent_open"):
+                    pair.silent.add(direction)
             if self.settings["cut"]:
                 pair.reset()
 
     async def accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carries one connection."""
+        """Forwards one connection until both directions have ended."""
         if self.settings["cut"]:
             writer.transport.abort()
             return
         host, _, port = self.args.target.rpartition(":")
         try:
-            up = await asyncio.open_connection(host, int(port))
+            target_streams = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        pair = Pair(writer, up[1])
+        pair = ConnectionPair(writer, target_streams[1])
         self.pairs.add(pair)
-        for way in ("up", "down"):
-            if self.settings[f"{way}_silent_next"]:
-                self.settings[f"{way}_silent_next"] -= 1
-                pair.silent.add(way)
+        for direction in ("up", "down"):
+            if self.settings[f"{direction}_silent_next"]:
+                self.settings[f"{direction}_silent_next"] -= 1
+                pair.silent.add(direction)
         try:
             await asyncio.gather(
-                self._carry("up", reader, up[1], pair),
-                self._carry("down", up[0], writer, pair),
+                self._forward("up", reader, target_streams[1], pair),
+                self._forward("down", target_streams[0], writer, pair),
             )
         finally:
             self.pairs.discard(pair)
 
-    async def _carry(
+    async def _forward(
         self,
-        way: str,
+        direction: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        pair: Pair,
+        pair: ConnectionPair,
     ) -> None:
         passed = 0
         with contextlib.suppress(OSError):
-            while data := await reader.read(_BUFFER):
-                await asyncio.sleep(self.settings[f"{way}_delay_ms"] / 1000)
-                rate = self.settings[f"{way}_bytes_per_s"]
+            while data := await reader.read(_READ_BYTES):
+                await asyncio.sleep(
+                    self.settings[f"{direction}_delay_ms"] / 1000
+                )
+                rate = self.settings[f"{direction}_bytes_per_s"]
                 if rate:
                     await asyncio.sleep(len(data) / rate)
-                if self.settings[f"{way}_silent"] or way in pair.silent:
+                if (
+                    self.settings[f"{direction}_silent"]
+                    or direction in pair.silent
+                ):
                     continue
-                limit = self.settings[f"{way}_reset_at"]
+                limit = self.settings[f"{direction}_reset_at"]
                 if 0 <= limit <= passed + len(data):
                     writer.write(data[: limit - passed])
                     await writer.drain()
                     pair.reset()
                     return
                 passed += len(data)
-                self.passed[way] += len(data)
+                self.passed[direction] += len(data)
                 writer.write(data)
                 await writer.drain()
         with contextlib.suppress(OSError):
             writer.close()
 
 
-class Pair:
-    """Both ends of a connection that the proxy carries."""
+class ConnectionPair:
+    """Both ends of a forwarded connection.
+
+    Attributes:
+        silent: directions whose data is dropped.
+    """
 
     def __init__(self, *writers: asyncio.StreamWriter) -> None:
         self.writers = writers
         self.silent: set[str] = set()
 
     def reset(self) -> None:
-        """Resets both ends."""
+        """Closes both ends with a TCP reset."""
         for writer in self.writers:
             sock = writer.get_extra_info("socket")
             if sock is not None:
-                linger = struct.pack("ii", 1, 0)
+                reset_on_close = struct.pack("ii", 1, 0)
                 with contextlib.suppress(OSError):
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+                    sock.setsockopt(
+                        socket.SOL_SOCKET, socket.SO_LINGER, reset_on_close
+                    )
             writer.transport.abort()
 
 
@@ -130,12 +147,12 @@
     routes = web.RouteTableDef()
 
     @routes.post("/fake")
-    async def steer(req: web.Request) -> web.Response:
-        proxy.steer(await req.json())
+    async def configure(req: web.Request) -> web.Response:
+        proxy.configure(await req.json())
         return web.json_response(proxy.settings)
 
     @routes.get("/fake")
-    async def look(req: web.Request) -> web.Response:
+    async def show(req: web.Request) -> web.Response:
         return web.json_response(
             {"passed": proxy.passed, "open": len(proxy.pairs)}
         )
--- a/tests/fakes/rawserver.py
+++ b/tests/fakes/rawserver.py
@@ -1,4 +1,4 @@
-"""A backend server whose every byte a test decides."""
+"""Backend server whose answers a test writes byte by byte."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass
 class ReceivedRequest:
-    """A request that reached the server.
+    """A request that the server received.
 
     Attributes:
-        reader: what comes after it on its connection.
+        reader: reads what follows the request on its connection.
     """
 
     method: str
@@ -28,10 +28,10 @@
 
 
 class _Parser:
-    """Collects one request after the other."""
+    """Parses requests from the bytes of one connection."""
 
     def __init__(self) -> None:
-        self.found: list[ReceivedRequest] = []
+        self.parsed: list[ReceivedRequest] = []
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
@@ -52,7 +52,7 @@
 
     def on_message_complete(self) -> None:
         method = self._parser.get_method().decode()
-        self.found.append(
+        self.parsed.append(
             ReceivedRequest(
                 method, self._target.decode(), self._headers, self._body
             )
@@ -60,11 +60,15 @@
 
 
 class RawServer:
-    """Listens on loopback and has each request answered by a function.
+    """Listens on loopback and passes each request to a function.
 
     Args:
-        answer: gets the request and the writer; what it doesn't write isn't
-            answered.
+        answer: writes the answer to a request, or nothing for no answer.
+
+    Attributes:
+        requests: the requests received so far.
+        connections: number of connections accepted so far.
+        address: IP and port, empty before the start.
     """
 
     def __init__(
@@ -80,13 +84,13 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{port}"
 
     async def stop(self) -> None:
-        """Refuses new connections from now on."""
+        """Stops to accept connections; open ones stay."""
         if self._server is not None:
             self._server.close()
 
@@ -98,8 +102,8 @@
         try:
             while data := await reader.read(65_536):
                 parser.feed(data)
-                while parser.found:
-                    seen = parser.found.pop(0)
+                while parser.parsed:
+                    seen = parser.parsed.pop(0)
                     seen.reader = reader
                     self.requests.append(seen)
                     await self._answer(seen, writer)
@@ -113,7 +117,15 @@
 def sealed_answer(
     seen: ReceivedRequest, body: bytes, status: str = "200 OK", **more: str
 ) -> bytes:
-    """Returns a whole answer that the server vouches for."""
+    """Returns a complete answer with the server's seal.
+
+    Args:
+        seen: the request.
+        body: body of the answer.
+        status: status code and reason phrase.
+        **more: header fields to add or replace, with `_` for `-`; an empty
+            value removes the field.
+    """
     headers = {
         "Request-Id": seen.headers.get("request-id", ""),
         "Sealed": "yes",
--- a/tests/soakplatform.py
+++ b/tests/soakplatform.py
@@ -1,12 +1,12 @@
-"""Faults in series against gateways, keepers and stores: `make soak-platform`.
+"""Soak of gateways, keepers and stores under faults: `make soak-platform`.
 
 Callers run programs of turns, and calls that must not be repeated, through all
-gateways, while by a seed processes are killed, frozen, stopped and sent
-signals, disks are taken away one at a time, routes change, and the proxy
-before the backend server resets its connections or falls silent. What the
-server saw and what callers got decides. Two series of faults overlap. Seeds
-from 100 on also kill everything at once, those from 1000 on also strike while
-the system starts for the first time.
+gateways. Meanwhile two tasks inject faults drawn from a seed: they kill, freeze
+and stop processes, send them SIGHUP, delete disks one at a time, change routes,
+and make the proxy in front of the backend server reset, delay or drop data.
+The soak then checks the requests that the server received and the answers that
+the callers got. Seeds from 100 on also kill all processes at once, seeds from
+1000 on also kill keepers while the system starts for the first time.
 """
 
 from __future__ import annotations
@@ -37,42 +37,45 @@
 
     from tests.fakes.rawserver import ReceivedRequest
 
-# Seeds from here on also kill everything at once; those before stay what they
-# were when they were played.
+# Seeds from here on also kill all processes at once. Lower seeds don't, so that
+# each still draws the same faults as before this fault existed.
 _FIRST_BLACKOUT_SEED = 100
 _FIRST_START_SEED = 1_000
-_CALLERS = 8
-_STRIKERS = 2
-_TURNS = 5
-# A keeper's lost disk and another one that is killed leave no quorum until the
-# copies are made again, on a busy machine some 20 s; then turns are served.
-_SERVED_WITHIN_S = 40.0
-_RETRY_S = 0.15
+_CALLER_TASKS = 8
+_FAULT_TASKS = 2
+_TURNS_PER_PROGRAM = 5
+# With one keeper's disk lost and another keeper killed there is no quorum until
+# the copies are made again, which takes some 20 s on a busy machine.
+_SERVED_TIMEOUT_S = 40.0
+_RETRY_INTERVAL_S = 0.15
 _DEADLINE_MS = 3_000
-# An answer that comes so long after its deadline came too late: a frozen
-# gateway thaws after 3 s at most.
-_LATE_S = _DEADLINE_MS / 1_000 + 4.0
-_BUDGET = 60
-_MAX = 6
-# Statuses that promise that the request has not run and never will.
-_PROMISES = frozenset({402, 408, 421, 429, 503})
+# An answer that takes longer is a problem. The margin of 4 s after the deadline
+# is more than the 3 s for which a gateway is frozen at most.
+_ANSWER_TIMEOUT_S = _DEADLINE_MS / 1_000 + 4.0
+_BUDGET_TOKENS = 60
+_MAX_TURN_TOKENS = 6
+# Statuses that promise that the request did not run and never will.
+_NOT_RUN_STATUSES = frozenset({402, 408, 421, 429, 503})
 
 
 @dataclasses.dataclass
 class Findings:
-    """What was seen, and what must not have been.
+    """Result of a soak.
 
     Attributes:
-        statuses: of all answers; 0 for those that broke off.
-        promised: requests that have not run, as their callers were told.
-        runs: how often the server began each request.
+        statuses: number of answers by status; 0 for incomplete or missing ones.
+        promised_not_run: requests whose callers got a status that promises
+            that the request did not run.
+        run_counts: how often the server received each request.
+        problems: violations that were found.
+        faults: faults that were injected.
     """
 
     statuses: collections.Counter[int] = dataclasses.field(
         default_factory=collections.Counter
     )
-    promised: set[str] = dataclasses.field(default_factory=set)
-    runs: collections.Counter[str] = dataclasses.field(
+    promised_not_run: set[str] = dataclasses.field(default_factory=set)
+    run_counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     problems: list[str] = dataclasses.field(default_factory=list)
@@ -83,10 +86,10 @@
     """A deployment under load and faults.
 
     Args:
-        deployment: that serves.
-        proxy: control address of the proxy before its server.
-        seed: decides all faults.
-        seconds: how long callers and faults go on.
+        deployment: the deployment under test.
+        proxy: control URL of the proxy in front of the backend server.
+        seed: seed of all faults.
+        seconds: how long callers and faults run.
     """
 
     def __init__(
@@ -96,225 +99,246 @@
         self._proxy = proxy
         self._seed = seed
         self._rng = random.Random(seed)
-        self._until = time.monotonic() + seconds
-        self._bodies: dict[str, bytes] = {}
-        self._disk = asyncio.Lock()
-        self._acknowledged = 0
-        # Tries of each program that may keep a reserve of its budget.
-        self._open: dict[str, int] = {}
-        # Ends of freezes, on the monotonic clock.
-        self._frozen_at: list[float] = []
+        self._end_s = time.monotonic() + seconds
+        self._expected_bodies: dict[str, bytes] = {}
+        self._disk_lock = asyncio.Lock()
+        self._acknowledged_version = 0
+        # For each program, attempts that may still hold a budget reserve.
+        self._open_reserves: dict[str, int] = {}
+        # Latest ends of freezes, on the monotonic clock.
+        self._freeze_ends_s: list[float] = []
         self._http = aiohttp.ClientSession()
-        self._hands: dict[str, asyncio.Lock] = {
+        self._host_locks: dict[str, asyncio.Lock] = {
             name: asyncio.Lock() for name in deployment.hosts
         }
-        # Lines that say "start", of each process's earlier lives.
-        self._starts = dict.fromkeys(deployment.hosts, 0)
+        # For each process, "start" lines logged before its last restart.
+        self._starts_before = dict.fromkeys(deployment.hosts, 0)
         self.found = Findings()
-        deployment.on_request = self._turn_result
+        deployment.on_request = self._check_request
 
     async def run(self) -> Findings:
-        """Runs callers and faults until the time is over, then checks."""
-        strikers = [
-            asyncio.create_task(self._strike()) for _ in range(_STRIKERS)
+        """Runs callers and faults for the set time, then checks the results."""
+        fault_tasks = [
+            asyncio.create_task(self._inject_faults())
+            for _ in range(_FAULT_TASKS)
         ]
-        callers = [self._caller(number) for number in range(_CALLERS)]
+        callers = [self._run_caller(number) for number in range(_CALLER_TASKS)]
         await asyncio.gather(*callers)
-        await asyncio.gather(*strikers)
-        for attempt in self.found.promised:
-            if self.found.runs[attempt]:
-                self._problem(f"{attempt} ran, though told that it had not")
-        for attempt, runs in self.found.runs.items():
+        await asyncio.gather(*fault_tasks)
+        for attempt in self.found.promised_not_run:
+            if self.found.run_counts[attempt]:
+                self._add_problem(
+                    f"{attempt} ran after an answer that it did not run"
+                )
+        for attempt, runs in self.found.run_counts.items():
             if runs > 1:
-                self._problem(f"{attempt} ran {runs} times")
-        await self._read_back()
+                self._add_problem(f"{attempt} ran {runs} times")
+        await self._check_routes()
         await self._http.close()
         return self.found
 
-    async def is_proxied(self) -> bool:
-        """Returns whether the proxy before the server can be steered."""
-        await self._steer({})
+    async def is_proxy_ready(self) -> bool:
+        """Returns True once the proxy's control port answers."""
+        await self._configure_proxy({})
         return True
 
-    def _problem(self, text: str) -> None:
+    def _add_problem(self, text: str) -> None:
         self.found.problems.append(text)
 
-    def _turn_result(self, seen: ReceivedRequest) -> None:
+    def _check_request(self, seen: ReceivedRequest) -> None:
         attempt = seen.headers["x-attempt-id"]
-        self.found.runs[attempt] += 1
-        expected = self._bodies.get(attempt)
+        self.found.run_counts[attempt] += 1
+        expected = self._expected_bodies.get(attempt)
         if expected is None:
-            self._problem(f"{attempt} was sent by nobody")
+            self._add_problem(f"{attempt} was received but never sent")
         elif seen.body != expected:
-            self._problem(f"{attempt} has {seen.body!r}, not {expected!r}")
+            self._add_problem(
+                f"{attempt} has body {seen.body!r}, not {expected!r}"
+            )
 
     # Callers.
 
-    async def _caller(self, number: int) -> None:
+    async def _run_caller(self, number: int) -> None:
         rng = random.Random(number)
         program = 0
-        while time.monotonic() < self._until:
+        while time.monotonic() < self._end_s:
             program += 1
-            await self._program(f"c{number}p{program}", rng)
+            await self._run_program(f"c{number}p{program}", rng)
 
-    async def _program(self, name: str, rng: random.Random) -> None:
-        """Runs a chain of turns, with a call that must not be repeated."""
+    async def _run_program(self, name: str, rng: random.Random) -> None:
+        """Runs consecutive turns, with a non-idempotent call after each."""
         history, previous = b"", ""
-        self._open[name] = 0
-        for turn in range(_TURNS):
-            said = f"<{name}.{turn}>".encode()
-            done = await self._turn(f"{name}.{turn}", previous, history + said)
+        self._open_reserves[name] = 0
+        for turn in range(_TURNS_PER_PROGRAM):
+            new_text = f"<{name}.{turn}>".encode()
+            done = await self._serve_turn(
+                f"{name}.{turn}", previous, history + new_text
+            )
             if done is None:
                 return
             previous, output = done
-            history += said + output
-            if (turn + 1) * _MAX > _BUDGET + _MAX:
-                self._problem(f"{name} got more than its {_BUDGET} tokens")
-            await self._call(f"{name}.{turn}.pay")
+            history += new_text + output
+            if (
+                turn + 1
+            ) * _MAX_TURN_TOKENS > _BUDGET_TOKENS + _MAX_TURN_TOKENS:
+                self._add_problem(
+                    f"{name} got more than its {_BUDGET_TOKENS} tokens"
+                )
+            await self._send_unsafe_call(f"{name}.{turn}.pay")
             await asyncio.sleep(rng.uniform(0, 0.05))
 
-    async def _turn(
+    async def _serve_turn(
         self, name: str, previous: str, body: bytes
     ) -> tuple[str, bytes] | None:
-        """Sends a turn until it is served; returns its id and its output."""
+        """Repeats a turn until it is served; returns its ID and its output."""
         program, _, turn = name.partition(".")
-        give_up = time.monotonic() + _SERVED_WITHIN_S
+        deadline_s = time.monotonic() + _SERVED_TIMEOUT_S
         for number in itertools.count():
             attempt = f"{name}.{number}"
-            self._bodies[attempt] = body
-            said = body[body.rindex(b"<") :]
-            status, got = await self._send(
-                "/t/x", attempt, said, previous, program
+            self._expected_bodies[attempt] = body
+            new_text = body[body.rindex(b"<") :]
+            status, answer_body = await self._send(
+                "/t/x", attempt, new_text, previous, program
             )
             if status == 200:
                 parts = [f"{attempt}-{n}".encode() for n in (1, 2)]
-                if not all(part in got for part in parts):
-                    self._problem(f"{attempt} got {got!r}")
+                if not all(part in answer_body for part in parts):
+                    self._add_problem(f"{attempt} got {answer_body!r}")
                 return attempt, b"".join(part + b"\n" for part in parts)
-            if status == 402 and self._affords(program, int(turn)):
-                self._problem(f"{attempt}: 402 within the budget")
+            if status == 402 and self._has_budget(program, int(turn)):
+                self._add_problem(f"{attempt}: 402 within the budget")
             if status == 404:
-                self._problem(f"{attempt}: {previous} is not known")
+                self._add_problem(f"{attempt}: {previous} is not known")
             if status in (402, 404):
                 return None
-            if status not in _PROMISES:
-                self._open[program] += 1
-            if time.monotonic() > give_up:
+            if status not in _NOT_RUN_STATUSES:
+                self._open_reserves[program] += 1
+            if time.monotonic() > deadline_s:
                 break
-            await asyncio.sleep(_RETRY_S)
-        self._problem(f"{name}: not served within {_SERVED_WITHIN_S} s")
+            await asyncio.sleep(_RETRY_INTERVAL_S)
+        self._add_problem(f"{name}: not served within {_SERVED_TIMEOUT_S} s")
         return None
 
-    def _affords(self, program: str, turns: int) -> bool:
-        """Returns whether a program's budget must hold one more turn.
+    def _has_budget(self, program: str, turns: int) -> bool:
+        """Returns whether a program's budget must suffice for one more turn.
 
-        A try whose gateway died keeps its reserve: what it may have handed
-        out is not known to anyone.
+        An attempt whose gateway died keeps its reserve, because nobody knows
+        how many tokens the caller got.
         """
-        held = (turns + self._open[program]) * _MAX
-        return held < _BUDGET
-
-    async def _call(self, attempt: str) -> None:
-        self._bodies[attempt] = b"1"
-        status, got = await self._send("/u/pay", attempt, b"1", "", attempt)
-        if status == 200 and got != attempt.encode():
-            self._problem(f"{attempt} got {got!r}")
+        reserved_tokens = (
+            turns + self._open_reserves[program]
+        ) * _MAX_TURN_TOKENS
+        return reserved_tokens < _BUDGET_TOKENS
+
+    async def _send_unsafe_call(self, attempt: str) -> None:
+        self._expected_bodies[attempt] = b"1"
+        status, answer_body = await self._send(
+            "/u/pay", attempt, b"1", "", attempt
+        )
+        if status == 200 and answer_body != attempt.encode():
+            self._add_problem(f"{attempt} got {answer_body!r}")
 
     async def _send(
         self, path: str, attempt: str, body: bytes, previous: str, program: str
     ) -> tuple[int, bytes]:
-        """Sends once through any gateway; returns 0 for a broken answer."""
-        gateways = self._named("gateway")
+        """Sends a request through a random gateway.
+
+        Returns:
+            Status and body; status 0 if the answer is incomplete or missing.
+        """
+        gateways = self._names_with_role("gateway")
         headers = {
             "X-Program-Id": program,
-            "X-Token-Usage": f"10,{_MAX}",
-            "X-Token-Budget": str(_BUDGET),
+            "X-Token-Usage": f"10,{_MAX_TURN_TOKENS}",
+            "X-Token-Budget": str(_BUDGET_TOKENS),
             "X-Deadline-Ms": str(_DEADLINE_MS),
         }
         if previous:
             headers["X-Previous-Turn"] = previous
         url = self._deployment.url(self._rng.choice(gateways), path)
-        told = {"Host": "h.example", "X-Attempt-Id": attempt, **headers}
-        begun = time.monotonic()
-        status, got = 0, b""
+        all_headers = {"Host": "h.example", "X-Attempt-Id": attempt, **headers}
+        started_s = time.monotonic()
+        status, answer_body = 0, b""
         try:
             async with self._http.post(
                 url,
                 data=body,
-                headers=told,
-                timeout=aiohttp.ClientTimeout(total=_LATE_S),
+                headers=all_headers,
+                timeout=aiohttp.ClientTimeout(total=_ANSWER_TIMEOUT_S),
             ) as answer:
-                got = await answer.read()
+                answer_body = await answer.read()
                 status = answer.status
         except TimeoutError:
-            # A gateway that is frozen answers nobody.
-            took_s = time.monotonic() - begun
-            if not self._was_frozen(begun):
-                self._problem(f"{attempt}: no answer in {took_s:.1f} s")
+            # Allowed if a gateway was frozen meanwhile.
+            took_s = time.monotonic() - started_s
+            if not self._was_frozen(started_s):
+                self._add_problem(f"{attempt}: no answer in {took_s:.1f} s")
         except (aiohttp.ClientError, ConnectionError):
             status = 0
         self.found.statuses[status] += 1
-        if status in _PROMISES:
-            self.found.promised.add(attempt)
-        return status, got
+        if status in _NOT_RUN_STATUSES:
+            self.found.promised_not_run.add(attempt)
+        return status, answer_body
 
     def _was_frozen(self, since: float) -> bool:
-        return any(at >= since - _LATE_S for at in self._frozen_at)
+        return any(
+            at >= since - _ANSWER_TIMEOUT_S for at in self._freeze_ends_s
+        )
 
     # Faults.
 
-    async def _strike(self) -> None:
+    async def _inject_faults(self) -> None:
         faults: list[Callable[[], Awaitable[str]]] = [
             self._kill,
             self._freeze,
             self._stop,
-            self._hang_up,
+            self._send_sighup,
             self._wipe,
-            self._reroute,
-            self._cut_server,
+            self._change_routes,
+            self._disturb_server,
         ]
         if self._seed >= _FIRST_BLACKOUT_SEED:
             faults.append(self._blackout)
-        while time.monotonic() < self._until:
+        while time.monotonic() < self._end_s:
             fault = self._rng.choice(faults)
             text = await fault()
             if text:
                 self.found.faults.append(text)
             await asyncio.sleep(self._rng.uniform(0.1, 1.2))
 
-    def _named(self, *roles: str) -> list[str]:
+    def _names_with_role(self, *roles: str) -> list[str]:
         hosts = self._deployment.hosts.values()
         return [host.name for host in hosts if host.role in roles]
 
     def _restart(self, name: str) -> None:
-        self._starts[name] = self._count_starts(name)
+        self._starts_before[name] = self._count_starts(name)
         self._deployment.start(name)
 
     def _count_starts(self, name: str) -> int:
-        lines = self._deployment.log(name)
+        lines = self._deployment.read_log(name)
         return sum(line["decision"] == "start" for line in lines)
 
-    def _has_begun(self, name: str) -> bool:
-        """Returns whether the running process has said that it serves."""
-        return self._count_starts(name) > self._starts[name]
+    def _has_started(self, name: str) -> bool:
+        """Returns whether the running process has logged its start."""
+        return self._count_starts(name) > self._starts_before[name]
 
     def _any_host(self) -> str:
         return self._rng.choice(list(self._deployment.hosts))
 
     async def _kill(self) -> str:
         name = self._any_host()
-        async with self._hands[name]:
+        async with self._host_locks[name]:
             self._deployment.kill(name)
             await asyncio.sleep(self._rng.uniform(0.0, 1.0))
             self._restart(name)
         return f"kill {name}"
 
     async def _blackout(self) -> str:
-        """Kills everything at once; all are back within a second."""
+        """Kills all processes and restarts them within a second."""
         names = sorted(self._deployment.hosts)
-        async with contextlib.AsyncExitStack() as held:
+        async with contextlib.AsyncExitStack() as locks:
             for name in names:
-                await held.enter_async_context(self._hands[name])
+                await locks.enter_async_context(self._host_locks[name])
             for name in names:
                 self._deployment.kill(name)
             self._rng.shuffle(names)
@@ -325,81 +349,87 @@
 
     async def _freeze(self) -> str:
         name = self._any_host()
-        async with self._hands[name]:
+        async with self._host_locks[name]:
             self._deployment.kill(name, signal.SIGSTOP)
-            self._frozen_at.append(time.monotonic() + 3.0)
+            self._freeze_ends_s.append(time.monotonic() + 3.0)
             await asyncio.sleep(self._rng.uniform(0.1, 3.0))
             self._deployment.kill(name, signal.SIGCONT)
         return f"freeze {name}"
 
     async def _stop(self) -> str:
         name = self._any_host()
-        async with self._hands[name]:
+        async with self._host_locks[name]:
             process = self._deployment.hosts[name].process
             assert process is not None
-            began = self._has_begun(name)
+            had_started = self._has_started(name)
             self._deployment.kill(name, signal.SIGTERM)
             try:
                 code = await asyncio.to_thread(process.wait, 9.0)
-                # One that has served nothing yet has nothing to finish.
-                if code and (began or code != -signal.SIGTERM):
-                    self._problem(f"{name} ended with {code} when stopped")
+                # A process that has not started yet may end by the signal.
+                if code and (had_started or code != -signal.SIGTERM):
+                    self._add_problem(f"{name} ended with {code} when stopped")
             finally:
                 self._restart(name)
         return f"stop {name}"
 
-    async def _hang_up(self) -> str:
+    async def _send_sighup(self) -> str:
         name = self._any_host()
-        async with self._hands[name]:
+        async with self._host_locks[name]:
             self._deployment.kill(name, signal.SIGHUP)
         return f"hang up {name}"
 
     async def _wipe(self) -> str:
-        """Takes one disk away; the next only once what it held is copied."""
-        if self._disk.locked():
+        """Deletes one disk; the next only after all data is copied again."""
+        if self._disk_lock.locked():
             return ""
-        name = self._rng.choice(self._named("keeper", "store"))
-        async with self._disk:
-            async with self._hands[name]:
+        name = self._rng.choice(self._names_with_role("keeper", "store"))
+        async with self._disk_lock:
+            async with self._host_locks[name]:
                 self._deployment.wipe(name)
                 self._restart(name)
-            await self._deployment.repaired(name)
+            await self._deployment.wait_repaired(name)
         return f"wipe {name}"
 
-    async def _reroute(self) -> str:
-        """Sends new routes, and reads them back from any keeper."""
-        if await self._deployment.configure(priority=self._rng.randint(0, 2)):
-            self._acknowledged = self._deployment.version
-        await self._read_back()
+    async def _change_routes(self) -> str:
+        """Sends new routes, then checks the routes that a keeper returns."""
+        if await self._deployment.send_manifest(
+            priority=self._rng.randint(0, 2)
+        ):
+            self._acknowledged_version = self._deployment.version
+        await self._check_routes()
         return "reroute"
 
-    async def _read_back(self) -> None:
-        wanted = self._acknowledged
-        status, body = await self._deployment.control("GET", "/-/config")
-        if status == 200 and json.loads(body)["version"] < wanted:
-            self._problem(f"routes read back are older than {wanted}")
+    async def _check_routes(self) -> None:
+        acknowledged = self._acknowledged_version
+        status, body = await self._deployment.call_keeper("GET", "/-/config")
+        if status == 200 and json.loads(body)["version"] < acknowledged:
+            self._add_problem(f"routes read back are older than {acknowledged}")
 
-    async def _cut_server(self) -> str:
-        hows: list[dict[str, object]] = [
+    async def _disturb_server(self) -> str:
+        choices: list[dict[str, object]] = [
             {"cut": True},
             {"down_silent_open": True},
             {"up_delay_ms": 300},
         ]
-        how = self._rng.choice(hows)
-        await self._steer(how)
+        proxy_settings = self._rng.choice(choices)
+        await self._configure_proxy(proxy_settings)
         await asyncio.sleep(self._rng.uniform(0.1, 1.5))
-        await self._steer(
+        await self._configure_proxy(
             {"cut": False, "down_silent_open": False, "up_delay_ms": 0}
         )
-        return f"server {next(iter(how))}"
+        return f"server {next(iter(proxy_settings))}"
 
-    async def _steer(self, how: dict[str, object]) -> None:
-        async with self._http.post(self._proxy + "/fake", json=how) as answer:
+    async def _configure_proxy(self, proxy_settings: dict[str, object]) -> None:
+        async with self._http.post(
+            self._proxy + "/fake", json=proxy_settings
+        ) as answer:
             await answer.read()
 
 
-async def strike_first_start(deployment: Deployment, seed: int) -> list[str]:
-    """Ends keepers, one or all at once, while the system is being founded."""
+async def inject_first_start_faults(
+    deployment: Deployment, seed: int
+) -> list[str]:
+    """Kills one or all keepers at a time while the system is founded."""
     rng = random.Random(seed)
     keepers = [h.name for h in deployment.hosts.values() if h.role == "keeper"]
     wiped = ""
@@ -420,69 +450,71 @@
     return faults
 
 
-async def play(seed: int, seconds: float) -> Findings:
-    """Plays one seed."""
+async def run_seed(seed: int, seconds: float) -> Findings:
+    """Runs the soak of one seed on a new deployment."""
     with tempfile.TemporaryDirectory(
         prefix="catkinpin-soak-", ignore_cleanup_errors=True
     ) as folder:
         deployment = Deployment(pathlib.Path(folder), gateways=3)
         control, port = ports.free_ports(2)
-        await deployment.model.start()
+        await deployment.model_server.start()
         proxy = processes.Process(
             "tests.fakes.proxy",
             [
                 *("--port", str(port), "--control", str(control)),
-                *("--target", deployment.model.address),
+                *("--target", deployment.model_server.address),
             ],
             pathlib.Path(folder) / "proxy.log",
         )
         deployment.server_address = f"127.0.0.1:{port}"
-        early: list[str] = []
+        first_start_faults: list[str] = []
 
-        async def strike() -> None:
-            early.extend(await strike_first_start(deployment, seed))
+        async def inject() -> None:
+            first_start_faults.extend(
+                await inject_first_start_faults(deployment, seed)
+            )
 
         if seed >= _FIRST_START_SEED:
-            deployment.on_first_start = strike
+            deployment.on_first_start = inject
         try:
             async with deployment:
                 soak = Soak(
                     deployment, f"http://127.0.0.1:{control}", seed, seconds
                 )
-                await base.until(soak.is_proxied, "the proxy listens")
+                await base.until(soak.is_proxy_ready, "the proxy listens")
                 found = await soak.run()
-                found.faults[:0] = early
+                found.faults[:0] = first_start_faults
                 if found.problems:
-                    _keep_logs(pathlib.Path(folder), seed)
+                    _copy_logs(pathlib.Path(folder), seed)
                 return found
         except BaseException:
-            _keep_logs(pathlib.Path(folder), seed)
+            _copy_logs(pathlib.Path(folder), seed)
             raise
         finally:
             proxy.end()
 
 
-def _keep_logs(folder: pathlib.Path, seed: int) -> None:
-    """Keeps what the processes wrote, to trace what was found."""
-    kept = processes.ROOT / "out" / f"soak-{seed}"
-    kept.mkdir(parents=True, exist_ok=True)
+def _copy_logs(folder: pathlib.Path, seed: int) -> None:
+    """Copies the logs to the folder out, for tracing the problems."""
+    target = processes.ROOT / "out" / f"soak-{seed}"
+    target.mkdir(parents=True, exist_ok=True)
     for log in folder.glob("*.log"):
-        shutil.copy(log, kept)
+        shutil.copy(log, target)
 
 
 async def main(first: int, last: int, seconds: float) -> int:
-    """Plays seeds and prints what was found."""
-    bad = 0
+    """Runs the seeds from first up to last and prints the problems."""
+    failed_seeds = 0
     for seed in range(first, last):
-        found = await play(seed, seconds)
+        found = await run_seed(seed, seconds)
         statuses = dict(sorted(found.statuses.items()))
         print(f"seed {seed}: {len(found.faults)} faults, answers {statuses}")
         for problem in found.problems:
             print(f"PROBLEM {problem}")
         if found.problems:
-            bad += 1
+            failed_seeds += 1
             print(f"  faults: {', '.join(found.faults)}", flush=True)
-    return 1 if bad else 0
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The folder `platform/`: it translates, and does nothing else."""
+"""Tests of the folder `platform/`, which may only translate."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 from tests import processes
 
-_FOLDER = processes.ROOT / "platform"
-# Names of the platform that must not stand in the product.
-_WORDS = re.compile(
+_PLATFORM_FOLDER = processes.ROOT / "platform"
+# Names of the platform that the product must not contain.
+_PLATFORM_NAMES = re.compile(
     r"X-[A-Z][a-z]+-|Kv-|Last-Event-Id|heartbeat_addr|bootstrap|node_name"
     r"|data_dir|port_range|path_prefix|server_history|retain_s|max_conns"
     r"|session_affinity|gap_aim|/-/|\bmanifest|\bcheck-in"
 )
-# What only decides, waits or repeats needs.
-_FORBIDDEN = {"asyncio", "random", "time", "threading", "sched"}
+# Modules that only code with decisions, timers or retries needs.
+_FORBIDDEN_MODULES = {"asyncio", "random", "time", "threading", "sched"}
 _MAX_LINES = 1_500
 
 
-def _inside(code: str) -> str:
-    """Runs code as the processes do: with the folder first on the path."""
+def _run_in_folder(code: str) -> str:
+    """Runs code with the folder first on the path; returns its output."""
     done = subprocess.run(
         [sys.executable, "-c", code],
         cwd=processes.ROOT,
-        env={"PYTHONPATH": f"{_FOLDER}:{processes.ROOT}"},
+        env={"PYTHONPATH": f"{_PLATFORM_FOLDER}:{processes.ROOT}"},
         capture_output=True,
         text=True,
         check=False,
@@ -41,31 +41,31 @@
 
 
 class FolderTest(testtools.TestCase):
-    """What stands in the folder, and what must not stand outside."""
+    """The folder and the product keep to their sides of the border."""
 
     def test_standard_library_stays_visible(self) -> None:
-        """Libraries import the standard module of the same name.
+        """Libraries import the standard library's module `platform`.
 
-        Hidden by the folder, they would fail far away from the cause.
+        If the folder hid it, they would fail far away from the cause.
         """
-        out = _inside("import platform, names; print(platform.system())")
+        out = _run_in_folder("import platform, names; print(platform.system())")
         self.assertTrue(out.strip())
-        self.assertFalse((_FOLDER / "__init__.py").exists())
+        self.assertFalse((_PLATFORM_FOLDER / "__init__.py").exists())
 
     def test_product_knows_none_of_the_platforms_names(self) -> None:
-        """A header's name in the product ties it to one platform."""
+        """A name of the platform in the product would tie it to that one."""
         found = []
         for path in sorted((processes.ROOT / "catkinpin").rglob("*.py")):
             for number, line in enumerate(path.read_text().splitlines(), 1):
-                if _WORDS.search(line):
+                if _PLATFORM_NAMES.search(line):
                     found.append(f"{path.name}:{number}: {line.strip()}")
         self.assertEqual([], found)
 
     def test_folder_holds_no_timer_retry_or_choice(self) -> None:
-        """A decision in the folder is one that the product lacks."""
+        """Decisions belong into the product, where all platforms have them."""
         found = []
         lines = 0
-        for path in sorted(_FOLDER.glob("*.py")):
+        for path in sorted(_PLATFORM_FOLDER.glob("*.py")):
             text = path.read_text()
             lines += len(text.splitlines())
             for node in ast.walk(ast.parse(text)):
@@ -83,29 +83,29 @@
                 found += [
                     f"{path.name}: {name}"
                     for name in names
-                    if name.partition(".")[0] in _FORBIDDEN
+                    if name.partition(".")[0] in _FORBIDDEN_MODULES
                 ]
         self.assertEqual([], found)
         self.assertLess(lines, _MAX_LINES)
 
 
 class TranslationTest(testtools.TestCase):
-    """Headers and documents, decoded once."""
+    """Translation of headers and documents."""
 
     def test_callers_cannot_steer_an_engines_memory(self) -> None:
         """A caller sends headers that only the system may set."""
-        out = _inside(
+        out = _run_in_folder(
             "import names\n"
             "from catkinpin.adapters.gateway.headers import Sending\n"
             "from catkinpin.adapters.http.headers import Headers\n"
-            "told = Headers([(b'X-Hold', b'1'), (b'X-Pin-Ms', b'9'),"
+            "received = Headers([(b'X-Hold', b'1'), (b'X-Pin-Ms', b'9'),"
             " (b'Kv-From', b'x'), (b'X-Kv-Backup', b'y'),"
             " (b'Kv-Fetch', b'z'), (b'X-Attempt-Id', b'a'),"
             " (b'X-Expect-Instance', b'other'), (b'Connection', b'close'),"
             " (b'X-Deadline-Ms', b'900')])\n"
             "codec = names.header_codec()\n"
-            "call = codec.call(told)\n"
-            "sent = codec.to_server(told, call, Sending('i1', 700))\n"
+            "call = codec.call(received)\n"
+            "sent = codec.to_server(received, call, Sending('i1', 700))\n"
             "print(sorted((k + b'=' + v).decode() for k, v in sent))\n"
         )
         self.assertEqual(
@@ -118,17 +118,17 @@
         )
 
     def test_api_key_is_taken_off_and_the_account_set(self) -> None:
-        """Guards against keys at servers and accounts that callers name."""
-        out = _inside(
+        """Servers must get no API keys; callers must not choose accounts."""
+        out = _run_in_folder(
             "import dataclasses, names\n"
             "from catkinpin.adapters.gateway.headers import Sending\n"
             "from catkinpin.adapters.http.headers import Headers\n"
-            "told = Headers([(b'authorization', b'bearer k1'),"
+            "received = Headers([(b'authorization', b'bearer k1'),"
             " (b'X-Tenant', b'forged'), (b'X-Deadline-Ms', b'900')])\n"
             "codec = names.header_codec()\n"
-            "call = dataclasses.replace(codec.call(told), account='acme')\n"
+            "call = dataclasses.replace(codec.call(received), account='acme')\n"
             "sending = Sending('i1', 700, hides_key=True)\n"
-            "sent = codec.to_server(told, call, sending)\n"
+            "sent = codec.to_server(received, call, sending)\n"
             "print(sorted((k + b'=' + v).decode() for k, v in sent))\n"
         )
         self.assertEqual(
@@ -141,14 +141,15 @@
         )
 
     def test_only_one_bearer_key_counts(self) -> None:
-        """Guards against requests that two readers take for two callers."""
-        out = _inside(
+        """Two readers could take a request with two keys for two callers'."""
+        out = _run_in_folder(
             "import names\n"
             "from catkinpin.adapters.http.headers import Headers\n"
             "from catkinpin.core.control import accounts\n"
             "def known(*values):\n"
-            "    told = [(b'Authorization', v) for v in values]\n"
-            "    found = names.header_codec().call(Headers(told)).key_digest\n"
+            "    received = [(b'Authorization', v) for v in values]\n"
+            "    call = names.header_codec().call(Headers(received))\n"
+            "    found = call.key_digest\n"
             "    return found == accounts.digest_of('k1')\n"
             "print([known(b'Bearer k1'), known(b'Basic k1'), known(b'Bearer'),"
             " known(), known(b'Bearer k1', b'Bearer k2')])\n"
@@ -158,8 +159,8 @@
         )
 
     def test_odd_headers_decode_to_something_harmless(self) -> None:
-        """Numbers that are none, and lists with holes."""
-        out = _inside(
+        """Headers have invalid numbers and lists with empty entries."""
+        out = _run_in_folder(
             "import names\n"
             "from catkinpin.adapters.http.headers import Headers\n"
             "call = names.header_codec().call("
@@ -171,9 +172,9 @@
         )
         self.assertEqual((0, 0, -1, ["x"], "17"), ast.literal_eval(out))
 
-    def _refused(self, code: str, body: object) -> bool:
+    def _is_refused(self, code: str, body: object) -> bool:
         text = body if isinstance(body, bytes) else json.dumps(body).encode()
-        out = _inside(
+        out = _run_in_folder(
             "import documents\n"
             "try:\n"
             f"    {code.format(body=text)}\n"
@@ -184,7 +185,7 @@
         return out.strip() == "refused"
 
     def test_broken_announcements_name_no_server(self) -> None:
-        """Another program writes to the same place, and not what we read."""
+        """Another program sends announcements in a different format."""
         good = {
             "service": "s",
             "address": "10.0.0.1:80",
@@ -196,16 +197,16 @@
             "new-field": [1],
         }
         call = "documents.decode_announcement('i', {body!r})"
-        self.assertFalse(self._refused(call, good))
-        self.assertTrue(self._refused(call, b"\xff\x00"))
-        self.assertTrue(self._refused(call, {**good, "state": "odd"}))
-        self.assertTrue(self._refused(call, {**good, "seq": "x"}))
-        self.assertTrue(self._refused(call, {**good, "address": "nowhere"}))
+        self.assertFalse(self._is_refused(call, good))
+        self.assertTrue(self._is_refused(call, b"\xff\x00"))
+        self.assertTrue(self._is_refused(call, {**good, "state": "odd"}))
+        self.assertTrue(self._is_refused(call, {**good, "seq": "x"}))
+        self.assertTrue(self._is_refused(call, {**good, "address": "nowhere"}))
         del good["service"]
-        self.assertTrue(self._refused(call, good))
+        self.assertTrue(self._is_refused(call, good))
 
     def test_accounts_that_contradict_each_other_are_refused(self) -> None:
-        """Guards against a manifest in force whose keys name two accounts."""
+        """A manifest in force must not give one API key to two accounts."""
         first = {"name": "a", "api_keys": ["k1"], "rate_per_s": 0.5}
         good = {
             "version": 1,
@@ -214,9 +215,9 @@
             "tenants": [first],
         }
         call = "documents.decode_manifest({body!r})"
-        self.assertFalse(self._refused(call, good))
+        self.assertFalse(self._is_refused(call, good))
         twin = {"name": "b", "api_keys": ["k1"]}
         twins = [first, twin]
-        self.assertTrue(self._refused(call, {**good, "tenants": twins}))
+        self.assertTrue(self._is_refused(call, {**good, "tenants": twins}))
         odd = [{"name": "a", "rate_per_s": -1}]
-        self.assertTrue(self._refused(call, {**good, "tenants": odd}))
+        self.assertTrue(self._is_refused(call, {**good, "tenants": odd}))
--- a/tests/test_soakplatform.py
+++ b/tests/test_soakplatform.py
@@ -1,4 +1,4 @@
-"""A short soak of gateways, keepers and stores in every test run."""
+"""Short soak of gateways, keepers and stores under faults."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class SoakTest(base.TestCase):
-    """Seeds of faults in series against real processes."""
+    """Runs some seeds of the soak against real processes."""
 
     def test_faults_in_series_break_no_promise(self) -> None:
-        """Processes, disks and connections fail one upon the other.
+        """Processes, disks and connections fail in quick succession.
 
-        Callers get each answer once and whole, no call runs twice, and what
-        was called not run never did.
+        Callers must get each answer once and complete, no call may run twice,
+        and a request that was answered as not run must never have run.
         """
-        self._play(1)
+        self._run_seed(1)
 
     def test_blackouts_among_other_faults_break_no_promise(self) -> None:
-        """Now and then everything is killed at once and starts again.
+        """All processes are sometimes killed and restarted together.
 
-        A leader that is back sets its own lease aside, and gateways let
-        callers wait for it. No turn is lost, and no call runs twice.
+        The restarted leader ignores its own lease, and gateways let callers
+        wait for it. No turn may be lost, and no call may run twice.
         """
-        self._play(104)
+        self._run_seed(104)
 
     def test_ends_during_the_first_start_break_no_promise(self) -> None:
-        """Guards against keepers that end while the system is founded."""
-        self._play(1000)
+        """Keepers are killed while the system is founded."""
+        self._run_seed(1000)
 
-    def _play(self, seed: int) -> None:
+    def _run_seed(self, seed: int) -> None:
         async def main() -> None:
-            found = await soakplatform.play(seed, _SECONDS)
+            found = await soakplatform.run_seed(seed, _SECONDS)
             self.assertEqual([], found.problems, found.faults)
             self.assertGreater(found.statuses[200], 0)
             self.assertTrue(found.faults)
@@ -44,28 +44,31 @@
 
 
 class RepairedTest(base.TestCase):
-    """How the harness knows that a host that lost its disk is back."""
+    """Checks how the fake detects that a host is back with a new disk."""
 
     def test_what_a_host_wrote_before_does_not_count(self) -> None:
-        """Guards against a second disk taken before the first one is back."""
+        """Old log lines would end the wait early.
+
+        The soak would then delete a second disk before the first host is back.
+        """
         system = deployment.Deployment(self.folder)
         for name in system.hosts:
             (self.folder / f"{name}.log").touch()
         system.hosts["keeper-1"].folder.mkdir()
-        before = [{"decision": "start"}, {"decision": "leader"}]
-        self._write(before)
+        old_lines = [{"decision": "start"}, {"decision": "leader"}]
+        self._write_log(old_lines)
         system.wipe("keeper-1")
         self.patch(deployment, "_WAIT_S", 0.2)
-        self.patch(deployment, "_SETTLED_S", 0.0)
+        self.patch(deployment, "_COPY_QUIET_S", 0.0)
 
         async def wait() -> None:
-            await system.repaired("keeper-1")
+            await system.wait_repaired("keeper-1")
 
         with self.assertRaises(TimeoutError):
             self.run_async(wait())
-        self._write(before * 2)
+        self._write_log(old_lines * 2)
         self.run_async(wait())
 
-    def _write(self, lines: list[dict[str, str]]) -> None:
+    def _write_log(self, lines: list[dict[str, str]]) -> None:
         text = "\n".join(json.dumps(line) for line in lines)
         (self.folder / "keeper-1.log").write_text(text)
