--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -318,7 +318,7 @@
         Returns:
             Status and body; if no keeper answers below 500, the last answer.
         """
-        got = (0, b"")
+        status_and_body = (0, b"")
         for host in self.hosts.values():
             if host.role != "keeper":
                 continue
@@ -330,10 +330,10 @@
                 async with self._session.request(
                     method, url, data=body, timeout=timeout
                 ) as answer:
-                    got = (answer.status, await answer.read())
-                if got[0] < 500:
-                    return got
-        return got
+                    status_and_body = (answer.status, await answer.read())
+                if status_and_body[0] < 500:
+                    return status_and_body
+        return status_and_body
 
     async def get_readiness(self, gateway: str) -> int:
         """Returns the status of a gateway's readiness check."""
@@ -386,11 +386,11 @@
         return False
 
     async def _answer_request(
-        self, seen: ReceivedRequest, writer: asyncio.StreamWriter
+        self, received: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        self.on_request(seen)
-        name = seen.headers["x-attempt-id"]
-        if seen.target.startswith("/u/"):
+        self.on_request(received)
+        name = received.headers["x-attempt-id"]
+        if received.target.startswith("/u/"):
             body = (
                 f"HTTP/1.1 200 OK\r\nX-Attempt-Id: {name}\r\n"
                 f"X-Response-Seal: s\r\nContent-Length: {len(name)}\r\n\r\n"
--- a/tests/fakes/rawserver.py
+++ b/tests/fakes/rawserver.py
@@ -90,7 +90,7 @@
         self.address = f"127.0.0.1:{port}"
 
     async def stop(self) -> None:
-        """Stops to accept connections; open ones stay."""
+        """Stops accepting connections; open ones stay open."""
         if self._server is not None:
             self._server.close()
 
@@ -103,10 +103,10 @@
             while data := await reader.read(65_536):
                 parser.feed(data)
                 while parser.parsed:
-                    seen = parser.parsed.pop(0)
-                    seen.reader = reader
-                    self.requests.append(seen)
-                    await self._answer(seen, writer)
+                    received = parser.parsed.pop(0)
+                    received.reader = reader
+                    self.requests.append(received)
+                    await self._answer(received, writer)
                     await writer.drain()
         except ConnectionError:
             return
@@ -115,19 +115,19 @@
 
 
 def sealed_answer(
-    seen: ReceivedRequest, body: bytes, status: str = "200 OK", **more: str
+    received: ReceivedRequest, body: bytes, status: str = "200 OK", **more: str
 ) -> bytes:
     """Returns a complete answer with the server's seal.
 
     Args:
-        seen: the request.
+        received: the request that is answered.
         body: body of the answer.
         status: status code and reason phrase.
         **more: header fields to add or replace, with `_` for `-`; an empty
             value removes the field.
     """
     headers = {
-        "Request-Id": seen.headers.get("request-id", ""),
+        "Request-Id": received.headers.get("request-id", ""),
         "Sealed": "yes",
         "Content-Length": str(len(body)),
         **{name.replace("_", "-"): value for name, value in more.items()},
--- a/tests/soakplatform.py
+++ b/tests/soakplatform.py
@@ -145,15 +145,15 @@
     def _add_problem(self, text: str) -> None:
         self.found.problems.append(text)
 
-    def _check_request(self, seen: ReceivedRequest) -> None:
-        attempt = seen.headers["x-attempt-id"]
+    def _check_request(self, received: ReceivedRequest) -> None:
+        attempt = received.headers["x-attempt-id"]
         self.found.run_counts[attempt] += 1
         expected = self._expected_bodies.get(attempt)
         if expected is None:
             self._add_problem(f"{attempt} was received but never sent")
-        elif seen.body != expected:
+        elif received.body != expected:
             self._add_problem(
-                f"{attempt} has body {seen.body!r}, not {expected!r}"
+                f"{attempt} has body {received.body!r}, not {expected!r}"
             )
 
     # Callers.
@@ -269,7 +269,7 @@
                 answer_body = await answer.read()
                 status = answer.status
         except TimeoutError:
-            # Allowed if a gateway was frozen meanwhile.
+            # A frozen gateway answers nobody, so this is no problem then.
             took_s = time.monotonic() - started_s
             if not self._was_frozen(started_s):
                 self._add_problem(f"{attempt}: no answer in {took_s:.1f} s")
@@ -365,7 +365,8 @@
             self._deployment.kill(name, signal.SIGTERM)
             try:
                 code = await asyncio.to_thread(process.wait, 9.0)
-                # A process that has not started yet may end by the signal.
+                # A process that has not logged its start may end by the signal:
+                # it serves nothing yet that it would have to finish.
                 if code and (had_started or code != -signal.SIGTERM):
                     self._add_problem(f"{name} ended with {code} when stopped")
             finally:
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -43,8 +43,10 @@
             body = system.model_server.requests[-1].body
             self.assertEqual(b"<a>a-1\na-2\n<b>b-1\nb-2\n<c>", body)
             self.assertEqual(404, await system.send_turn("d", "never"))
-            spent = await system.send_turn("e", "c", X_Token_Budget="3")
-            self.assertEqual(402, spent)
+            status_over_budget = await system.send_turn(
+                "e", "c", X_Token_Budget="3"
+            )
+            self.assertEqual(402, status_over_budget)
 
         self.run_test(work)
 
@@ -142,9 +144,9 @@
                 for name in keepers
                 for line in system.read_log(name)[before[name] :]
             ]
-            kinds = {line["decision"] for line in found}
-            self.assertNotIn("founded", kinds)
-            self.assertNotIn("leadership", kinds)
+            decisions = {line["decision"] for line in found}
+            self.assertNotIn("founded", decisions)
+            self.assertNotIn("leadership", decisions)
             known_by = {line.get("system_known_by", "") for line in found}
             self.assertLess(1, len(known_by))
 
@@ -186,17 +188,17 @@
                 self.assertEqual(200, await system.send_turn(turn))
             path = "/-/retire/store-1"
 
-            async def begun() -> bool:
+            async def has_retirement_begun() -> bool:
                 body = b'{"duration_s": 9}'
                 status, _ = await system.call_keeper("POST", path, body)
                 return status == 200
 
-            async def done() -> bool:
+            async def is_retirement_done() -> bool:
                 _, body = await system.call_keeper("GET", path)
                 return bool(json.loads(body or b"{}").get("state") == "done")
 
-            await system.wait_until(begun)
-            await system.wait_until(done)
+            await system.wait_until(has_retirement_begun)
+            await system.wait_until(is_retirement_done)
             system.kill("store-1")
             # The deployment must tolerate the loss of one more disk.
             system.kill("store-2")
@@ -264,11 +266,13 @@
             await self._until_refused(system, "")
             acme, other = _bearer_header("k-acme"), _bearer_header("k-other")
             self.assertEqual(200, await system.send_turn("a", **acme))
-            seen = system.model_server.requests[-1].headers
-            self.assertEqual("acme", seen["x-tenant"])
-            self.assertNotIn("authorization", seen)
-            stolen = await system.send_turn("b", "a", "gateway-2", **other)
-            self.assertEqual(404, stolen)
+            received_headers = system.model_server.requests[-1].headers
+            self.assertEqual("acme", received_headers["x-tenant"])
+            self.assertNotIn("authorization", received_headers)
+            status_of_other = await system.send_turn(
+                "b", "a", "gateway-2", **other
+            )
+            self.assertEqual(404, status_of_other)
             system.kill(system.find_leader())
 
             async def continued() -> bool:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -41,7 +41,7 @@
 
 
 class FolderTest(testtools.TestCase):
-    """The folder and the product keep to their sides of the border."""
+    """Platform names stay in the folder, decisions stay out of it."""
 
     def test_standard_library_stays_visible(self) -> None:
         """Libraries import the standard library's module `platform`.
@@ -53,7 +53,7 @@
         self.assertFalse((_PLATFORM_FOLDER / "__init__.py").exists())
 
     def test_product_knows_none_of_the_platforms_names(self) -> None:
-        """A name of the platform in the product would tie it to that one."""
+        """Such a name would tie the product to one platform."""
         found = []
         for path in sorted((processes.ROOT / "catkinpin").rglob("*.py")):
             for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -62,7 +62,7 @@
         self.assertEqual([], found)
 
     def test_folder_holds_no_timer_retry_or_choice(self) -> None:
-        """Decisions belong into the product, where all platforms have them."""
+        """The product makes all decisions; the folder only translates."""
         found = []
         lines = 0
         for path in sorted(_PLATFORM_FOLDER.glob("*.py")):
@@ -141,7 +141,7 @@
         )
 
     def test_only_one_bearer_key_counts(self) -> None:
-        """Two readers could take a request with two keys for two callers'."""
+        """Two readers of a request with two keys could pick different ones."""
         out = _run_in_folder(
             "import names\n"
             "from catkinpin.adapters.http.headers import Headers\n"
@@ -216,8 +216,10 @@
         }
         call = "documents.decode_manifest({body!r})"
         self.assertFalse(self._is_refused(call, good))
-        twin = {"name": "b", "api_keys": ["k1"]}
-        twins = [first, twin]
-        self.assertTrue(self._is_refused(call, {**good, "tenants": twins}))
+        second = {"name": "b", "api_keys": ["k1"]}
+        accounts_with_same_key = [first, second]
+        self.assertTrue(
+            self._is_refused(call, {**good, "tenants": accounts_with_same_key})
+        )
         odd = [{"name": "a", "rate_per_s": -1}]
         self.assertTrue(self._is_refused(call, {**good, "tenants": odd}))
