--- a/catkinpin/adapters/peers/streams.py
+++ b/catkinpin/adapters/peers/streams.py
@@ -190,7 +190,7 @@
         packed = codec.encode(batch)
         if self._deflate is not None:
             packed = self._deflate.pack(packed)
-        metrics.WIRE_BYTES.labels(self._link_label).inc(len(packed))
+        metrics.PEER_WIRE_BYTES.labels(self._link_label).inc(len(packed))
         return packed
 
 
--- a/catkinpin/adapters/replica/founding.py
+++ b/catkinpin/adapters/replica/founding.py
@@ -86,7 +86,7 @@
         self._founder = self._new_founder()
         self._logged_status: types.WaitStatus | None = None
         self._logged_ms = 0
-        self._waiting_since_ms = clock.elapsed_ms()
+        self._waiting_since_ms = clock.since_boot_ms()
 
     def _new_founder(self) -> Founder:
         """Returns the founding algorithm's state for this replica."""
@@ -102,7 +102,7 @@
             self._address,
             seeds,
             self._identity.seed_record,
-            clock.elapsed_ms(),
+            clock.since_boot_ms(),
             _OPERATOR_REPAIR_TIMING if auto_join is None else None,
         )
 
@@ -124,7 +124,7 @@
         if self._identity.participates:
             return
         self._mesh.broadcast(self.node_info())
-        self._founder.tick(clock.elapsed_ms())
+        self._founder.tick(clock.since_boot_ms())
         self._run_commands()
         self._log_wait_status()
 
@@ -160,7 +160,7 @@
                 info.empty,
                 info.knows_group,
             ),
-            clock.elapsed_ms(),
+            clock.since_boot_ms(),
         )
         self._run_commands()
 
@@ -170,7 +170,7 @@
         if members.members:
             self._mesh.send(message.sender, transport.Found(members=members))
         elif not self._identity.participates:
-            self._founder.step(message, clock.elapsed_ms())
+            self._founder.step(message, clock.since_boot_ms())
             self._run_commands()
 
     def handle_founded(self, members: Members) -> None:
@@ -218,7 +218,7 @@
 
     def awaited_seeds(self) -> list[str]:
         """Returns the addresses of the seeds that the founding waits for."""
-        return list(self._founder.wait_status(clock.elapsed_ms()).seeds)
+        return list(self._founder.wait_status(clock.since_boot_ms()).seeds)
 
     def _known_members(self) -> Members:
         return self._identity.founders or self._newest_members()
@@ -266,7 +266,7 @@
         """
         if self._identity.participates:
             return
-        now_ms = clock.elapsed_ms()
+        now_ms = clock.since_boot_ms()
         wait_status = self._founder.wait_status(now_ms)
         if (
             wait_status == self._logged_status
--- a/catkinpin/adapters/replica/groups.py
+++ b/catkinpin/adapters/replica/groups.py
@@ -386,7 +386,7 @@
             return
         if self._is_elected != self._leading:
             self._leading = self._is_elected
-            metrics.LEADS.labels(self.name).set(self._leading)
+            metrics.IS_GROUP_LEADER.labels(self.name).set(self._leading)
             self._machine.leadership_changed(self._leading)
 
     def _send(self, to: str, body: messages.GroupMessage) -> None:
--- a/catkinpin/adapters/replica/shardhost.py
+++ b/catkinpin/adapters/replica/shardhost.py
@@ -138,7 +138,7 @@
         commands: list[Command] = []
         match message:
             case messages.Begin():
-                with tracing.hop("leader.begin", message.traceparent):
+                with tracing.span("leader.begin", message.traceparent):
                     commands = self.leader.begin(
                         entry, message, now_ms, wall_ms
                     )
--- a/catkinpin/exits.py
+++ b/catkinpin/exits.py
@@ -1,4 +1,4 @@
-"""How processes end: exit codes, and an end at once."""
+"""Exit codes, and an immediate exit after storage errors."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 OK = 0
 FAILED = 1
-USAGE = 2
-STORAGE = 3
-CUT = 4
-FORCED = 5
+USAGE_ERROR = 2
+STORAGE_ERROR = 3
+STOP_TIMEOUT = 4
+FORCED_STOP = 5
 
 
-def stop_at_once(exc: Exception) -> None:
-    """Ends the process at once, without any further message.
+def exit_immediately(exc: Exception) -> None:
+    """Exits the process immediately, without sending any further message.
 
-    After a failed write or sync the disk may hold less than memory says. A
-    graceful stop would still acknowledge from memory.
+    After a failed write or sync, the disk may lack data that is in memory. A
+    graceful stop would still acknowledge that data to others.
     """
     log.critical("%s", exc, exc_info=exc)
     logging.shutdown()
-    os._exit(STORAGE)
+    os._exit(STORAGE_ERROR)
