--- a/tests/fakes/gatewayrig.py
+++ b/tests/fakes/gatewayrig.py
@@ -40,7 +40,7 @@
 from catkinpin.core.placement.urgency import ProgramStatus
 from catkinpin.core.requests.calls import AnswerFacts, RouteCall
 from tests.fakes.instances import instance
-from tests.fakes.rawserver import RawServer, Seen, sealed
+from tests.fakes.rawserver import RawServer, ReceivedRequest, sealed_answer
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -48,7 +48,7 @@
     from catkinpin.core.control.accounts import ClientAccount
     from catkinpin.core.control.ledger import Denial
 
-    Answer = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+    Answer = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 TIME_LIMIT_S = 8.0
 
@@ -265,7 +265,7 @@
 
     def count_server_requests(self) -> int:
         """Returns how many requests reached a server."""
-        return sum(len(server.seen) for server in self.servers)
+        return sum(len(server.requests) for server in self.servers)
 
     async def ask(
         self, name: str = "q1", body: bytes = b"in", **headers: str
@@ -320,23 +320,31 @@
     return out, False
 
 
-async def answer_ok(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def answer_ok(
+    seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Answers with 200."""
-    writer.write(sealed(seen, b"fine"))
+    writer.write(sealed_answer(seen, b"fine"))
 
 
-async def refuse_full(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def refuse_full(
+    seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Refuses with 503 and states that the request was not run."""
     status = "503 Service Unavailable"
-    writer.write(sealed(seen, b"", status, Not_Run="1"))
+    writer.write(sealed_answer(seen, b"", status, Not_Run="1"))
 
 
-async def abort_connection(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def abort_connection(
+    seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Aborts the connection."""
     writer.transport.abort()
 
 
-async def never_answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_answer(
+    seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Never answers."""
     await asyncio.sleep(TIME_LIMIT_S)
 
@@ -348,7 +356,9 @@
     )
 
 
-def encode_stream(seen: Seen, *parts: bytes, end: bool = True) -> bytes:
+def encode_stream(
+    seen: ReceivedRequest, *parts: bytes, end: bool = True
+) -> bytes:
     """Returns a chunked answer; without the final chunk unless `end`."""
     name = seen.headers["request-id"]
     head = (
@@ -359,6 +369,8 @@
     return head + chunks + (b"0\r\n\r\n" if end else b"")
 
 
-async def stream_events(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def stream_events(
+    seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Streams three events, then ends."""
     writer.write(encode_stream(seen, encode_events(1, 3)))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,12 +9,12 @@
 from catkinpin.core.control.routes import (
     RouteKind,
 )
-from tests.fakes.rawserver import Seen, sealed
+from tests.fakes.rawserver import ReceivedRequest, sealed_answer
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    Answer = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+    Answer = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 from tests.fakes.gatewaycase import GatewayCase
 from tests.fakes.gatewayrig import (
@@ -82,7 +82,7 @@
             got = await rig.ask(body=b"\x00raw", Deadline="900")
             self.assertEqual((200, b"fine"), (got.status, got.body))
             self.assertEqual("yes", got.headers["sealed"])
-            (seen,) = rig.servers[0].seen
+            (seen,) = rig.servers[0].requests
             self.assertEqual("/x/y?z=1", seen.target)
             self.assertEqual(b"\x00raw", seen.body)
             self.assertEqual("s0", seen.headers["expect-server"])
@@ -179,9 +179,9 @@
         """Guards against forwarding a 200 that the server did not seal."""
 
         async def answer_unsealed(
-            seen: Seen, writer: asyncio.StreamWriter
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
-            writer.write(sealed(seen, b"forged", Sealed=""))
+            writer.write(sealed_answer(seen, b"forged", Sealed=""))
 
         async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
@@ -198,8 +198,10 @@
         A server ran the request and answers 503 without the not-run header.
         """
 
-        async def answer_503(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(sealed(seen, b"", "503 Service Unavailable"))
+        async def answer_503(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(sealed_answer(seen, b"", "503 Service Unavailable"))
 
         async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT)
@@ -270,7 +272,7 @@
         closed = asyncio.Event()
 
         async def wait_for_close(
-            seen: Seen, writer: asyncio.StreamWriter
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             assert seen.reader is not None
             await seen.reader.read()
@@ -300,7 +302,7 @@
             rig = Rig(RouteKind.NON_IDEMPOTENT)
 
             async def crash_server(
-                seen: Seen, writer: asyncio.StreamWriter
+                seen: ReceivedRequest, writer: asyncio.StreamWriter
             ) -> None:
                 await rig.servers[0].stop()
                 writer.transport.abort()
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -11,12 +11,12 @@
     RouteKind,
 )
 from catkinpin.core.placement.urgency import ProgramStatus
-from tests.fakes.rawserver import Seen, sealed
+from tests.fakes.rawserver import ReceivedRequest, sealed_answer
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    Answer = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+    Answer = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 from tests.fakes.gatewaycase import GatewayCase
 from tests.fakes.gatewayrig import (
@@ -53,7 +53,7 @@
             got = await response
             self.assertTrue(got.is_complete)
             self.assertEqual(encode_events(1, 3), got.body)
-            self.assertEqual(b"before in", rig.servers[0].seen[0].body)
+            self.assertEqual(b"before in", rig.servers[0].requests[0].body)
             self.assertEqual([b"ine1\ne2\ne3\n"], rig.turns.finished)
             self.assertEqual([], rig.turns.settled)
             await rig.stop()
@@ -68,8 +68,10 @@
         other engine had room.
         """
 
-        async def answer_500(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            writer.write(sealed(seen, b"", "500 Failed"))
+        async def answer_500(
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
+            writer.write(sealed_answer(seen, b"", "500 Failed"))
 
         async def scenario() -> None:
             rig = Rig(RouteKind.STREAM, max_attempts=1)
@@ -93,12 +95,12 @@
         count = 0
 
         async def fail_every_other(
-            seen: Seen, writer: asyncio.StreamWriter
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             nonlocal count
             count += 1
             status = "500 Failed" if count % 2 else "200 OK"
-            writer.write(sealed(seen, b"x", status))
+            writer.write(sealed_answer(seen, b"x", status))
 
         async def scenario() -> None:
             rig = Rig(RouteKind.NON_IDEMPOTENT, has_engine=False)
@@ -159,7 +161,7 @@
         """
 
         async def abort_mid_event(
-            seen: Seen, writer: asyncio.StreamWriter
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             part = encode_events(1, 2) + b"id: 3\nda"
             writer.write(encode_stream(seen, part, end=False))
@@ -186,7 +188,7 @@
         """
 
         async def abort_unless_resumed(
-            seen: Seen, writer: asyncio.StreamWriter
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             if resumed := seen.headers.get("resume-at"):
                 writer.write(
@@ -218,7 +220,7 @@
         """
 
         async def pause_mid_stream(
-            seen: Seen, writer: asyncio.StreamWriter
+            seen: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             writer.write(encode_stream(seen, encode_events(1, 1), end=False))
             await writer.drain()
