--- a/bench/controlbench.py
+++ b/bench/controlbench.py
@@ -102,7 +102,7 @@
             domain="zh-a",
             region="ch-nord",
         )
-        self.configured = configured.Configured()
+        self.configured = configured.ActiveConfiguration()
         self.replicas = shards.Replicas(
             list(replicas.values()), hello, self._handle, lambda _: None
         )
@@ -121,7 +121,7 @@
     def _handle(self, message: Any) -> None:
         if isinstance(message, changes.ConfigUpdate):
             self.configured.apply_update(message)
-            self.lease.changed()
+            self.lease.renew_now()
 
     async def knows_leader(self) -> bool:
         """Returns whether changes can be made through this node."""
--- a/catkinpin/adapters/entry/calls.py
+++ b/catkinpin/adapters/entry/calls.py
@@ -80,7 +80,7 @@
         self._splice = splice.StreamSplicer()
         self._diverged = False
 
-    def restart(self) -> None:
+    def start_attempt(self) -> None:
         """Notes that another attempt answers from the start."""
         self._splice.restart()
 
@@ -191,7 +191,7 @@
 
     def recover(self, order: messages.Recover) -> None:
         """Finds out what became of an attempt whose own entry is gone."""
-        if self._dispatcher.grants.use(order.attempt):
+        if self._dispatcher.grants.mark_used(order.attempt):
             task = asyncio.create_task(self._recover(order))
             self._recovering.add(task)
             task.add_done_callback(self._recovering.discard)
@@ -211,7 +211,7 @@
         )
         finish = await self._dispatcher.recover(grant, req, 0, _drop)
         await self.report(finish)
-        self._dispatcher.grants.over(order.attempt)
+        self._dispatcher.grants.mark_over(order.attempt)
 
     async def report(self, finish: messages.Finish) -> None:
         """Takes to the leader an outcome that no caller waits for here.
@@ -312,7 +312,7 @@
                     with tracing.hop("finish", traceparent):
                         reply = await self._finish(group, finish)
                 finally:
-                    self._dispatcher.grants.over(finish.attempt)
+                    self._dispatcher.grants.mark_over(finish.attempt)
         except PeerLostError as exc:
             text = "the shard's leader did not answer in time"
             if exc.sent and req.resendable:
@@ -350,7 +350,7 @@
         left_ms: int,
         traceparent: str,
     ) -> messages.Finish:
-        call.restart()
+        call.start_attempt()
         body = req.body
         digests = req.begin.digests
         known = grant.skip
--- a/catkinpin/adapters/entry/configured.py
+++ b/catkinpin/adapters/entry/configured.py
@@ -26,7 +26,7 @@
 _SOON_S = 0.05
 
 
-class Configured:
+class ActiveConfiguration:
     """The newest configuration this process has been sent.
 
     Attributes:
@@ -98,7 +98,7 @@
             return "the configuration is not confirmed: its lease lapsed"
         return ""
 
-    def changed(self) -> None:
+    def renew_now(self) -> None:
         """Confirms a new revision at once."""
         self._wake.set()
 
--- a/catkinpin/adapters/entry/context.py
+++ b/catkinpin/adapters/entry/context.py
@@ -6,7 +6,10 @@
 
 if TYPE_CHECKING:
     from catkinpin.adapters.entry.calls import Calls
-    from catkinpin.adapters.entry.configured import Configured, LeaseHolder
+    from catkinpin.adapters.entry.configured import (
+        ActiveConfiguration,
+        LeaseHolder,
+    )
     from catkinpin.adapters.entry.shards import Replicas
     from catkinpin.core import messages
     from catkinpin.settings import EntrySettings
@@ -25,7 +28,7 @@
     """
 
     cfg: EntrySettings
-    configured: Configured
+    configured: ActiveConfiguration
     stopping: bool
     calls: Calls
     replicas: Replicas
--- a/catkinpin/adapters/entry/dispatch.py
+++ b/catkinpin/adapters/entry/dispatch.py
@@ -61,7 +61,7 @@
         must not send the request a second time; one that lay in a buffer
         while this process stood still may have been given to another since.
         """
-        if not self.grants.use(grant.attempt):
+        if not self.grants.mark_used(grant.attempt):
             metrics.DROPPED_ANSWERS.inc()
             text = "this grant was used before"
             return outcomes.failed(grant, Reason.OUTCOME_UNKNOWN, text)
--- a/catkinpin/adapters/entry/grants.py
+++ b/catkinpin/adapters/entry/grants.py
@@ -31,7 +31,7 @@
         """Returns whether a grant was used or taken back here."""
         return attempt in self._states
 
-    def use(self, attempt: str) -> bool:
+    def mark_used(self, attempt: str) -> bool:
         """Marks a grant as used; returns False where it must not be."""
         if attempt in self._states:
             return False
@@ -40,7 +40,7 @@
             del self._states[next(iter(self._states))]
         return True
 
-    def over(self, attempt: str) -> None:
+    def mark_over(self, attempt: str) -> None:
         """Notes that nobody here knows the attempt's outcome any more."""
         self._states[attempt] = GrantState.OVER
 
--- a/catkinpin/adapters/entry/process.py
+++ b/catkinpin/adapters/entry/process.py
@@ -52,7 +52,7 @@
         self.incarnation = uuid.uuid4().hex
         self.leaving = False
         self.stopping = False
-        self.configured = configured.Configured()
+        self.configured = configured.ActiveConfiguration()
         self.caller_address = ""
         self.admin_address = ""
         self._reports: dict[str, tuple[messages.ServerReport, int]] = {}
@@ -202,7 +202,7 @@
         match message:
             case changes.ConfigUpdate():
                 self.configured.apply_update(message)
-                self.lease.changed()
+                self.lease.renew_now()
             case changes.OrderOffer():
                 self._orders.offered(message)
             case messages.Recall():
--- a/catkinpin/adapters/gateway/answers.py
+++ b/catkinpin/adapters/gateway/answers.py
@@ -11,7 +11,7 @@
     from catkinpin.adapters.gateway.headers import HeaderCodec
     from catkinpin.adapters.gateway.view import View
     from catkinpin.adapters.gateway.work import Work
-    from catkinpin.adapters.http.client import Head
+    from catkinpin.adapters.http.client import ResponseHead
     from catkinpin.adapters.http.server import Responder
     from catkinpin.clock import Clock
     from catkinpin.core.requests.calls import RouteCall
@@ -37,7 +37,7 @@
         self._codec = codec
         self._clock = clock
 
-    def start(self, work: Work, head: Head, length: int | None) -> bool:
+    def start(self, work: Work, head: ResponseHead, length: int | None) -> bool:
         """Starts the answer with a server's head, where that can be passed."""
         facts = self._codec.answer(head.headers)
         if head.status < 300 and not facts.is_sealed:
--- a/catkinpin/adapters/gateway/exchange.py
+++ b/catkinpin/adapters/gateway/exchange.py
@@ -14,7 +14,7 @@
 from catkinpin.adapters.gateway.crashes import Crashes
 from catkinpin.adapters.gateway.headers import Sending
 from catkinpin.adapters.gateway.timings import Times
-from catkinpin.adapters.http.client import ANY_IDLE_S, Failure
+from catkinpin.adapters.http.client import DEFAULT_MAX_IDLE_S, Failure
 from catkinpin.core.control.servers import ServerState
 from catkinpin.core.placement import unresponsive, urgency
 from catkinpin.verdicts import Verdict
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from catkinpin.adapters.gateway.context import Parts
     from catkinpin.adapters.gateway.work import Work
-    from catkinpin.adapters.http.client import Head, ServerConnection
+    from catkinpin.adapters.http.client import ResponseHead, ServerConnection
     from catkinpin.adapters.http.headers import Headers
     from catkinpin.core.placement.balance import Choice
     from catkinpin.core.requests.calls import Load
@@ -100,7 +100,7 @@
 
     async def send(
         self, work: Work, choice: Choice, body: bytes, resume_at: str = ""
-    ) -> tuple[ServerConnection, Head] | Failure:
+    ) -> tuple[ServerConnection, ResponseHead] | Failure:
         """Sends a request to a server and waits for the head of its answer."""
         instance = choice.instance
         work.sent_to.append(instance.id)
@@ -108,7 +108,7 @@
             instance.address,
             self._max_connections(work),
             _CONNECT_S,
-            ANY_IDLE_S if work.is_repeatable else _ONCE_IDLE_S,
+            DEFAULT_MAX_IDLE_S if work.is_repeatable else _ONCE_IDLE_S,
         )
         if isinstance(conn, Failure):
             work.reason = conn.reason
@@ -147,19 +147,19 @@
         self._record_head(work, choice, head)
         return conn, head
 
-    def not_run(self, head: Head) -> bool:
+    def not_run(self, head: ResponseHead) -> bool:
         """Returns whether a server says that it did not run the request."""
         return self._codec.answer(head.headers).not_run
 
     def end(self, choice: Choice, conn: ServerConnection) -> None:
         """Ends an exchange; one that is not over is cut off."""
         conn.finish(asyncio.get_running_loop().time())
-        self._pool.give_back(choice.instance.address, conn)
+        self._pool.release(choice.instance.address, conn)
         self._balancer.record_ended(choice.instance)
 
     async def drain(self, conn: ServerConnection) -> None:
         """Reads the rest of a short answer, so that the connection stays."""
-        while isinstance(await conn.chunk(), bytes):
+        while isinstance(await conn.read_chunk(), bytes):
             pass
 
     def succeeded(self, work: Work, choice: Choice) -> None:
@@ -221,10 +221,12 @@
         )
         if isinstance(probe, Failure):
             return False
-        self._pool.give_back(address, probe)
+        self._pool.release(address, probe)
         return True
 
-    def _record_head(self, work: Work, choice: Choice, head: Head) -> None:
+    def _record_head(
+        self, work: Work, choice: Choice, head: ResponseHead
+    ) -> None:
         facts = self._codec.answer(head.headers)
         load = self._record_load(work, choice, facts.load)
         work.times.head(asyncio.get_running_loop().time(), load)
@@ -254,15 +256,17 @@
         )
         return None
 
-    async def _head(self, work: Work, conn: ServerConnection) -> Head | Failure:
+    async def _head(
+        self, work: Work, conn: ServerConnection
+    ) -> ResponseHead | Failure:
         if not work.may_leave:
-            return await conn.head()
+            return await conn.read_head()
         gap_s = max(
             _MIN_SILENCE_S, _SILENT_TARGETS * work.route.target_ms / _MS
         )
         try:
             async with asyncio.timeout(gap_s):
-                return await conn.head()
+                return await conn.read_head()
         except TimeoutError:
             return Failure(Verdict.MAY_HAVE_RUN, "silent for too long")
 
@@ -272,7 +276,7 @@
         facts = self._codec.answer(headers)
         if facts.attempt:
             return facts.attempt == work.call.attempt
-        return facts.not_run and conn.is_fresh
+        return facts.not_run and conn.is_first_exchange
 
     def _encode(
         self, work: Work, choice: Choice, body: bytes, resume_at: str
--- a/catkinpin/adapters/gateway/plain.py
+++ b/catkinpin/adapters/gateway/plain.py
@@ -12,7 +12,7 @@
     from catkinpin.adapters.gateway.answers import Answers
     from catkinpin.adapters.gateway.exchange import Exchange
     from catkinpin.adapters.gateway.work import Work
-    from catkinpin.adapters.http.client import Head, ServerConnection
+    from catkinpin.adapters.http.client import ResponseHead, ServerConnection
     from catkinpin.core.placement.balance import Choice
 
 # The part of an idempotent request's time that its first server gets.
@@ -84,13 +84,17 @@
             self._exchange.end(choice, conn)
 
     async def pass_on(
-        self, work: Work, choice: Choice, conn: ServerConnection, head: Head
+        self,
+        work: Work,
+        choice: Choice,
+        conn: ServerConnection,
+        head: ResponseHead,
     ) -> bool:
         """Passes an answer on; returns whether the caller was answered."""
         held: list[bytes] = []
         size = 0
         started = False
-        while (data := await conn.chunk()) is not None:
+        while (data := await conn.read_chunk()) is not None:
             if isinstance(data, Failure):
                 work.verdict = Verdict.MAY_HAVE_RUN
                 work.reason = data.reason
--- a/catkinpin/adapters/gateway/process.py
+++ b/catkinpin/adapters/gateway/process.py
@@ -130,7 +130,7 @@
 
     async def stop(self) -> None:
         """Lets the balancer notice, finishes what is in flight, and ends."""
-        decisions.note("stop", "", in_flight=self.server.busy())
+        decisions.note("stop", "", in_flight=self.server.count_busy())
         self._stopping = True
         loop = asyncio.get_running_loop()
         until = loop.time() + (self.cfg.stop_timeout_ms - _CLOSE_MS) / _MS
@@ -140,12 +140,12 @@
         await asyncio.sleep(self.cfg.balancer_wait_ms / _MS)
         self._serving.ends_s = until
         while loop.time() < until and (
-            self.server.busy() or self._turns.unsettled
+            self.server.count_busy() or self._turns.unsettled
         ):
             self.server.close_idle()
             await asyncio.sleep(_TICK_S)
         self.server.close_idle()
-        decisions.note("stopped", "", cut=self.server.busy())
+        decisions.note("stopped", "", cut=self.server.count_busy())
         await self.server.stop()
         await self._ready.stop()
         for task in self._tasks:
--- a/catkinpin/adapters/gateway/serving.py
+++ b/catkinpin/adapters/gateway/serving.py
@@ -70,7 +70,7 @@
         """Answers one request."""
         call = self._codec.call(request.headers)
         serving = asyncio.ensure_future(self._serve(request, responder, call))
-        leaving = asyncio.ensure_future(request.gone.wait())
+        leaving = asyncio.ensure_future(request.disconnected.wait())
         await asyncio.wait(
             {serving, leaving}, return_when=asyncio.FIRST_COMPLETED
         )
--- a/catkinpin/adapters/gateway/streaming.py
+++ b/catkinpin/adapters/gateway/streaming.py
@@ -27,7 +27,7 @@
     from catkinpin.adapters.gateway.exchange import Exchange
     from catkinpin.adapters.gateway.plain import Plain
     from catkinpin.adapters.gateway.work import Work
-    from catkinpin.adapters.http.client import Head, ServerConnection
+    from catkinpin.adapters.http.client import ResponseHead, ServerConnection
     from catkinpin.core.placement.balance import Choice
 
 _MS = 1_000
@@ -210,7 +210,7 @@
         work: Work,
         choice: Choice,
         conn: ServerConnection,
-        head: Head,
+        head: ResponseHead,
         passed: _Passed,
     ) -> _End:
         if head.status >= 300:
@@ -281,7 +281,7 @@
         return TurnResult(work.tokens, work.ran_on, lost_ms, report)
 
     async def _may_resume(self, work: Work, choice: Choice) -> bool:
-        if not work.route.resumable or work.responder.is_gone:
+        if not work.route.resumable or work.responder.is_disconnected:
             return False
         if work.runs < work.route.max_attempts:
             return True
@@ -295,10 +295,10 @@
     work: Work, conn: ServerConnection
 ) -> bytes | Failure | None:
     if not work.may_leave:
-        return await conn.chunk()
+        return await conn.read_chunk()
     gap_s = max(_MIN_SILENCE_S, _SILENT_TARGETS * work.route.target_ms / _MS)
     try:
         async with asyncio.timeout(gap_s):
-            return await conn.chunk()
+            return await conn.read_chunk()
     except TimeoutError:
         return Failure(Verdict.MAY_HAVE_RUN, "silent for too long")
--- a/catkinpin/adapters/http/client.py
+++ b/catkinpin/adapters/http/client.py
@@ -28,13 +28,13 @@
 # a request that crosses the close may or may not have run.
 _IDLE_MARGIN_S = 1.0
 # How long a connection may have been idle where that makes no difference.
-ANY_IDLE_S = 60.0
+DEFAULT_MAX_IDLE_S = 60.0
 # Idle time of a connection to a server that names none.
 _IDLE_S = 4.0
 
 
 @dataclasses.dataclass
-class Head:
+class ResponseHead:
     """Head of a response.
 
     Attributes:
@@ -80,7 +80,7 @@
         self._paused = False
         self._status = b""
         self._headers = Headers()
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._in_body = False
         self._complete = False
         self._under_way = False
@@ -131,7 +131,7 @@
         )
 
     @property
-    def is_fresh(self) -> bool:
+    def is_first_exchange(self) -> bool:
         """Whether nothing was answered on this connection yet."""
         return self._answered == 0
 
@@ -145,7 +145,7 @@
         self._queued = 0
         self._transport.write(data)
 
-    async def head(self) -> Head | Failure:
+    async def read_head(self) -> ResponseHead | Failure:
         """Waits for the head of the response."""
         while self._head is None:
             if self._lost:
@@ -154,7 +154,7 @@
             await self._event.wait()
         return self._head
 
-    async def chunk(self) -> bytes | Failure | None:
+    async def read_chunk(self) -> bytes | Failure | None:
         """Waits for bytes of the body; None at its end."""
         while not self._chunks:
             if self._complete:
@@ -224,7 +224,9 @@
         chunked = "chunked" in self._headers.get(b"transfer-encoding").lower()
         self._by_close = not chunked and not length.isdigit()
         body_length = int(length) if length.isdigit() and not chunked else None
-        self._head = Head(status, self._status, self._headers, body_length)
+        self._head = ResponseHead(
+            status, self._status, self._headers, body_length
+        )
         self._in_body = True
         self._note_idle()
 
@@ -273,7 +275,7 @@
         address: str,
         limit: int,
         timeout_s: float,
-        max_idle_s: float = ANY_IDLE_S,
+        max_idle_s: float = DEFAULT_MAX_IDLE_S,
     ) -> ServerConnection | Failure:
         """Returns a connection that nothing is under way on.
 
@@ -327,7 +329,7 @@
         conn.abort("makes room for a new one")
         self._closed(address)
 
-    def give_back(self, address: str, conn: ServerConnection) -> None:
+    def release(self, address: str, conn: ServerConnection) -> None:
         """Takes a connection back whose exchange has ended."""
         now = asyncio.get_running_loop().time()
         if conn.is_usable(now):
--- a/catkinpin/adapters/http/server.py
+++ b/catkinpin/adapters/http/server.py
@@ -53,7 +53,7 @@
         target: path and query as they came.
         version: as in '1.1'.
         arrived_s: the loop's time at which its head was read.
-        gone: set once the caller has left.
+        disconnected: set once the caller has left.
     """
 
     method: bytes
@@ -62,7 +62,7 @@
     headers: Headers
     body: bytes
     arrived_s: float
-    gone: asyncio.Event
+    disconnected: asyncio.Event
 
 
 class Responder:
@@ -77,7 +77,7 @@
         self.status = 0
 
     @property
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the caller has left."""
         return self._conn.closed
 
@@ -186,7 +186,7 @@
             )
         return f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
-    def busy(self) -> int:
+    def count_busy(self) -> int:
         """Returns how many requests are being read or answered."""
         return sum(conn.is_busy for conn in self.connections)
 
@@ -249,9 +249,9 @@
         self._drained.set()
         self._cancel_timer()
         if self._current is not None:
-            self._current.gone.set()
+            self._current.disconnected.set()
         for request in self._waiting:
-            request.gone.set()
+            request.disconnected.set()
 
     def data_received(self, data: bytes) -> None:
         """Parses what came."""
@@ -326,7 +326,7 @@
             headers=self._headers,
             body=bytes(self._body),
             arrived_s=self._arrived_s,
-            gone=asyncio.Event(),
+            disconnected=asyncio.Event(),
         )
         if not self._parser.should_keep_alive():
             self.close_after = True
--- a/catkinpin/adapters/replica/process.py
+++ b/catkinpin/adapters/replica/process.py
@@ -138,7 +138,7 @@
         """Puts a new configuration in force here."""
         for host in self.shards.values():
             host.configured(cfg)
-        self.lease.changed()
+        self.lease.renew_now()
 
     def _hold_lease(self) -> None:
         """Makes this replica confirm its configuration as an entry does."""
--- a/tests/fakes/worldentry.py
+++ b/tests/fakes/worldentry.py
@@ -199,7 +199,7 @@
         self, call: Call, grant: messages.Granted, asked_at: int
     ) -> None:
         self.world.on_step("grant", call.begin.key)
-        if not self.alive or not self._grants.use(grant.attempt):
+        if not self.alive or not self._grants.mark_used(grant.attempt):
             self._begin(call)
             return
         until = asked_at + grant.waited_ms + grant.expires_ms
@@ -243,7 +243,7 @@
             return
 
         def send() -> None:
-            self._grants.over(finish.attempt)
+            self._grants.mark_over(finish.attempt)
             self.ask(call, messages.Finish)
 
         self.do(send)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -112,7 +112,7 @@
         rng = random.Random(4)
         state = control.ControlState()
         replayed = control.ControlState()
-        receivers = [configured.Configured() for _ in range(4)]
+        receivers = [configured.ActiveConfiguration() for _ in range(4)]
         sent_updates: list[changes.ConfigUpdate] = []
         for step in range(400):
             names = [f"a{rng.randrange(30)}" for _ in range(2)]
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from catkinpin.adapters.http.client import Failure, Head, Pool
+from catkinpin.adapters.http.client import Failure, Pool, ResponseHead
 from catkinpin.adapters.http.headers import Headers
 from catkinpin.adapters.http.server import (
     HttpServer,
@@ -39,23 +39,23 @@
 
 async def _exchange(
     pool: Pool, address: str, name: str
-) -> tuple[Head | Failure, bytes, Failure | None]:
+) -> tuple[ResponseHead | Failure, bytes, Failure | None]:
     """Sends one request; returns head, body and how the body failed."""
     conn = await pool.acquire(address, 9, 1.0)
     assert not isinstance(conn, Failure)
     conn.send(
         _request(name), lambda headers: headers.get(b"request-id") == name
     )
-    head = await conn.head()
+    head = await conn.read_head()
     body, broke = b"", None
-    if isinstance(head, Head):
-        while (part := await conn.chunk()) is not None:
+    if isinstance(head, ResponseHead):
+        while (part := await conn.read_chunk()) is not None:
             if isinstance(part, Failure):
                 broke = part
                 break
             body += part
     conn.finish(asyncio.get_running_loop().time())
-    pool.give_back(address, conn)
+    pool.release(address, conn)
     return head, body, broke
 
 
@@ -81,7 +81,7 @@
             pool = Pool()
             for name in ("a", "b", "c"):
                 head, body, broke = await _exchange(pool, server.address, name)
-                self.assertIsInstance(head, Head)
+                self.assertIsInstance(head, ResponseHead)
                 self.assertEqual((name.encode(), None), (body, broke))
                 await asyncio.sleep(0.01 if name == "a" else 0.05)
             await server.stop()
@@ -134,12 +134,12 @@
             await asyncio.sleep(0.1)
             used = await pool.acquire(server.address, 1, 1.0)
             assert not isinstance(used, Failure)
-            self.assertFalse(used.is_fresh)
-            pool.give_back(server.address, used)
+            self.assertFalse(used.is_first_exchange)
+            pool.release(server.address, used)
             # Where all that may be open are, the one idle longest makes room.
             conn = await pool.acquire(server.address, 1, 1.0, max_idle_s=0.05)
             assert not isinstance(conn, Failure)
-            self.assertTrue(conn.is_fresh)
+            self.assertTrue(conn.is_first_exchange)
             self.assertEqual(2, server.connections)
             conn.abort("the test is over")
             await server.stop()
@@ -330,11 +330,11 @@
 
         Unnoticed, a server would work on for nobody.
         """
-        gone = asyncio.Event()
+        disconnected = asyncio.Event()
 
         async def wait(request: Request, responder: Responder) -> None:
-            await request.gone.wait()
-            gone.set()
+            await request.disconnected.wait()
+            disconnected.set()
 
         async def play() -> None:
             server = HttpServer(wait)
@@ -344,7 +344,7 @@
             writer.write(_request("a"))
             await asyncio.sleep(0.05)
             writer.close()
-            await gone.wait()
+            await disconnected.wait()
             await server.stop()
 
         _run(play())
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -95,7 +95,7 @@
         call = calls.RunningCall(lambda: next(times))
         for word in _text_events("some text", 4):
             call.feed(word)
-        call.restart()
+        call.start_attempt()
         for word in _text_events("some text and more", 4):
             call.feed(word)
         after = [
