--- a/catkinpin/adapters/http/__init__.py
+++ b/catkinpin/adapters/http/__init__.py
@@ -1,1 +1,4 @@
-"""HTTP/1.1 with bytes unchanged, on the parser of `httptools`."""
+"""An HTTP/1.1 client and server that pass bytes on unchanged.
+
+Both use the parser of `httptools`.
+"""
--- a/catkinpin/adapters/http/client.py
+++ b/catkinpin/adapters/http/client.py
@@ -1,8 +1,9 @@
-"""Connections to backend servers: one request at a time, bytes unchanged.
+"""A connection pool and HTTP/1.1 client for backend servers.
 
-A response is taken only where it names our request. A server may send a second
-response, or an old one late; read as the answer to whatever came next, it
-would hand one caller another one's data.
+A connection carries one request at a time and passes bytes on unchanged. It
+accepts a response only if its headers match the request: a server may send a
+second response, or one to an earlier request late, and attributing it to the
+next request would give one caller another caller's data.
 """
 
 from __future__ import annotations
@@ -22,23 +23,23 @@
 
 log = logging.getLogger(__name__)
 
-# Bytes of a response that wait for its reader before the server isn't read.
-_AHEAD_BYTES = 256 * 1024
-# An idle connection is retired this much before the server would close it:
-# a request that crosses the close may or may not have run.
+# Reading from the server pauses while more unread response bytes are queued.
+_READ_BUFFER_BYTES = 256 * 1024
+# An idle connection is closed this long before the server would close it: if
+# a request and the server's close cross, the request may or may not have run.
 _IDLE_MARGIN_S = 1.0
-# How long a connection may have been idle where that makes no difference.
+# Longest idle time of a connection that may carry a repeatable request.
 DEFAULT_MAX_IDLE_S = 60.0
-# Idle time of a connection to a server that names none.
-_IDLE_S = 4.0
+# Idle timeout of a server that sends no Keep-Alive timeout.
+_DEFAULT_KEEP_ALIVE_S = 4.0
 
 
 @dataclasses.dataclass
 class ResponseHead:
-    """Head of a response.
+    """The head of a response.
 
     Attributes:
-        length: bytes of the body; None where it isn't known ahead.
+        length: the body's size in bytes; None if the head does not state it.
     """
 
     status: int
@@ -49,12 +50,12 @@
 
 @dataclasses.dataclass
 class Failure:
-    """Sentinel: no response, or not all of it.
+    """Returned instead of a response that is missing or incomplete.
 
     Attributes:
         verdict: whether the request may have run.
         reason: what happened, for the log.
-        is_lost: whether the connection was lost with the request under way.
+        is_lost: whether the connection was lost during the request.
     """
 
     verdict: Verdict
@@ -63,30 +64,33 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection to a backend server.
+    """A connection to a backend server.
 
-    Args:
-        is_ours: tells whether a response's head belongs to the request that
-            is under way.
+    Attributes:
+        idle_until_s: the loop's time from which the idle connection must not
+            be used; 0 until a response was received.
+        idle_since_s: the loop's time at which the last exchange ended.
+        closed: whether the connection was lost or closed.
+        on_closed: called once the connection is closed.
     """
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport
         self._parser = httptools.HttpResponseParser(self)
-        self._is_ours: Callable[[Headers], bool] = lambda _: False
-        self._event = asyncio.Event()
+        self._matches_request: Callable[[Headers], bool] = lambda _: False
+        self._state_changed = asyncio.Event()
         self._chunks: list[bytes] = []
-        self._queued = 0
-        self._paused = False
+        self._queued_bytes = 0
+        self._reading_paused = False
         self._status = b""
         self._headers = Headers()
         self._head: ResponseHead | None = None
         self._in_body = False
         self._complete = False
-        self._under_way = False
-        self._answered = 0
-        self._lost: str = ""
-        self._by_close = False
+        self._in_exchange = False
+        self._response_count = 0
+        self._failure_reason: str = ""
+        self._ends_at_close = False
         self._keep_alive = True
         self.idle_until_s = 0.0
         self.idle_since_s = 0.0
@@ -94,164 +98,178 @@
         self.on_closed: Callable[[], None] = lambda: None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notes the transport."""
+        """Stores the transport."""
         self._transport = cast("asyncio.Transport", transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends what is under way."""
+        """Ends the current exchange."""
         self.closed = True
-        if exc is None and self._in_body and self._by_close:
-            # Such a body has no other end than the connection's orderly one.
+        if exc is None and self._in_body and self._ends_at_close:
+            # A body without a length ends with the connection's orderly close.
             self._complete = True
         else:
-            self._lost = self._lost or f"connection lost: {exc or 'closed'}"
-        self._event.set()
+            self._failure_reason = (
+                self._failure_reason or f"connection lost: {exc or 'closed'}"
+            )
+        self._state_changed.set()
         self.on_closed()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
-        if not self._under_way:
-            # Nothing was asked for: whatever this is, it is nobody's answer.
+        """Parses received bytes."""
+        if not self._in_exchange:
+            # No request is in progress, so these bytes answer none.
             self.abort("bytes without a request")
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             self.abort(f"not a response: {exc}")
-        self._event.set()
+        self._state_changed.set()
 
     def is_usable(self, now_s: float) -> bool:
         """Returns whether a request may be sent on this connection."""
         return (
             not self.closed
             and self._keep_alive
-            and not self._lost
-            and not self._under_way
+            and not self._failure_reason
+            and not self._in_exchange
             and now_s < self.idle_until_s
         )
 
     @property
     def is_first_exchange(self) -> bool:
-        """Whether nothing was answered on this connection yet."""
-        return self._answered == 0
+        """Whether no response was received on this connection yet."""
+        return self._response_count == 0
+
+    def send(
+        self, data: bytes, matches_request: Callable[[Headers], bool]
+    ) -> None:
+        """Sends a request.
 
-    def send(self, data: bytes, is_ours: Callable[[Headers], bool]) -> None:
-        """Sends a request."""
-        self._is_ours = is_ours
-        self._under_way = True
+        Args:
+            data: the encoded request.
+            matches_request: returns whether a response with these header
+                fields answers the request.
+        """
+        self._matches_request = matches_request
+        self._in_exchange = True
         self._complete = False
         self._head = None
         self._chunks = []
-        self._queued = 0
+        self._queued_bytes = 0
         self._transport.write(data)
 
     async def read_head(self) -> ResponseHead | Failure:
-        """Waits for the head of the response."""
+        """Waits for the head of the response and returns it."""
         while self._head is None:
-            if self._lost:
-                return self._failure()
-            self._event.clear()
-            await self._event.wait()
+            if self._failure_reason:
+                return self._connection_failure()
+            self._state_changed.clear()
+            await self._state_changed.wait()
         return self._head
 
     async def read_chunk(self) -> bytes | Failure | None:
-        """Waits for bytes of the body; None at its end."""
+        """Waits for bytes of the body and returns them; None at its end."""
         while not self._chunks:
             if self._complete:
                 return None
-            if self._lost:
-                return self._failure()
-            self._event.clear()
-            await self._event.wait()
+            if self._failure_reason:
+                return self._connection_failure()
+            self._state_changed.clear()
+            await self._state_changed.wait()
         data = b"".join(self._chunks)
         self._chunks = []
-        self._queued = 0
-        if self._paused and not self.closed:
-            self._paused = False
+        self._queued_bytes = 0
+        if self._reading_paused and not self.closed:
+            self._reading_paused = False
             self._transport.resume_reading()
         return data
 
-    def _failure(self) -> Failure:
-        return Failure(Verdict.MAY_HAVE_RUN, self._lost, is_lost=True)
+    def _connection_failure(self) -> Failure:
+        return Failure(Verdict.MAY_HAVE_RUN, self._failure_reason, is_lost=True)
 
     def finish(self, now_s: float) -> None:
-        """Ends the exchange; the connection can serve another one."""
-        self._under_way = False
+        """Ends the exchange, so that the connection can be used again.
+
+        Aborts the connection if the response was not received completely.
+        """
+        self._in_exchange = False
         self.idle_since_s = now_s
         if not self._complete:
             self.abort("not read to its end")
         if self.idle_until_s == 0.0:
-            self.idle_until_s = now_s + _IDLE_S
+            self.idle_until_s = now_s + _DEFAULT_KEEP_ALIVE_S
 
     def abort(self, reason: str) -> None:
-        """Resets the connection, so that the server stops its work."""
-        self._lost = self._lost or reason
+        """Resets the connection, so that the server stops working on it."""
+        self._failure_reason = self._failure_reason or reason
         self._keep_alive = False
-        self._event.set()
+        self._state_changed.set()
         if not self.closed:
             self._transport.abort()
 
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Starts a response."""
+        """Prepares for a new response."""
         if self._complete:
-            # A second response behind the first: what follows on this
-            # connection can't be told apart any more.
+            # The server sends a second response to the same request. Later
+            # responses on this connection can't be attributed reliably.
             self._keep_alive = False
         self._status = b""
         self._headers = Headers()
 
     def on_status(self, status: bytes) -> None:
-        """Takes the reason phrase."""
+        """Adds a part of the reason phrase."""
         self._status += status
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header field."""
+        """Adds a header field."""
         self._headers.add(name, value)
 
     def on_headers_complete(self) -> None:
-        """Decides whose response this is."""
+        """Accepts the head if the response answers the current request."""
         status = self._parser.get_status_code()
         self._in_body = False
         if status < 200 or self._complete or self._head is not None:
             return
-        if not self._is_ours(self._headers):
-            # A late answer to a request before; ours may follow.
+        if not self._matches_request(self._headers):
+            # A late response to an earlier request; the expected response may
+            # still follow.
             self._keep_alive = False
             return
         length = self._headers.get(b"content-length")
         chunked = "chunked" in self._headers.get(b"transfer-encoding").lower()
-        self._by_close = not chunked and not length.isdigit()
+        self._ends_at_close = not chunked and not length.isdigit()
         body_length = int(length) if length.isdigit() and not chunked else None
         self._head = ResponseHead(
             status, self._status, self._headers, body_length
         )
         self._in_body = True
-        self._note_idle()
+        self._update_idle_limit()
 
     def on_body(self, data: bytes) -> None:
-        """Takes a part of the body."""
+        """Queues a part of the body."""
         if not self._in_body:
             return
         self._chunks.append(data)
-        self._queued += len(data)
-        if self._queued > _AHEAD_BYTES and not self._paused:
-            self._paused = True
+        self._queued_bytes += len(data)
+        if self._queued_bytes > _READ_BUFFER_BYTES and not self._reading_paused:
+            self._reading_paused = True
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Notes the end of a response."""
+        """Marks the response as complete."""
         if self._in_body and not self._complete:
             self._complete = True
-            self._answered += 1
+            self._response_count += 1
             if not self._parser.should_keep_alive():
                 self._keep_alive = False
         self._in_body = False
 
-    def _note_idle(self) -> None:
-        """Notes how long the server keeps the connection when idle."""
-        wait_s = _IDLE_S
+    def _update_idle_limit(self) -> None:
+        """Sets `idle_until_s` from the response's Keep-Alive field."""
+        wait_s = _DEFAULT_KEEP_ALIVE_S
         for part in self._headers.get(b"keep-alive").split(","):
             name, _, value = part.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
@@ -260,15 +278,15 @@
 
 
 class Pool:
-    """Connections to all backend servers.
+    """A pool of connections to all backend servers.
 
-    A server takes a bounded number from all of its callers, and resets what
-    goes beyond. So each gateway keeps to its part.
+    A server accepts a limited number of connections in total and resets those
+    beyond it, so each gateway keeps to its share of the limit.
     """
 
     def __init__(self) -> None:
         self._idle: dict[str, list[ServerConnection]] = {}
-        self._open: dict[str, int] = {}
+        self._open_counts: dict[str, int] = {}
 
     async def acquire(
         self,
@@ -277,15 +295,15 @@
         timeout_s: float,
         max_idle_s: float = DEFAULT_MAX_IDLE_S,
     ) -> ServerConnection | Failure:
-        """Returns a connection that nothing is under way on.
+        """Returns an idle connection to a server, or opens one.
 
         Args:
-            address: of the server.
-            limit: connections that this process may have open to it.
-            timeout_s: longest wait for a new one.
-            max_idle_s: one that was idle for longer is not taken. A server
-                may have dropped it silently; what is sent on it then is
-                reset, and may have run for all one knows.
+            address: the server's address.
+            limit: most connections that this process may open to the server.
+            timeout_s: connect timeout.
+            max_idle_s: connections that were idle for longer are not used. The
+                server may have dropped one silently; a request sent on it is
+                reset, and whether it ran is then unknown.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -298,11 +316,11 @@
             elif now - conn.idle_since_s <= max_idle_s:
                 return idle.pop()
             else:
-                self._make_room(address, limit)
+                self._close_longest_idle(address, limit)
                 break
-        if self._open.get(address, 0) >= limit:
+        if self._open_counts.get(address, 0) >= limit:
             return Failure(Verdict.NOT_RUN, "no connection is free")
-        self._open[address] = self._open.get(address, 0) + 1
+        self._open_counts[address] = self._open_counts.get(address, 0) + 1
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(timeout_s):
@@ -310,27 +328,27 @@
                     ServerConnection, host, int(port)
                 )
         except (OSError, TimeoutError) as exc:
-            self._closed(address)
+            self._count_closed(address)
             return Failure(Verdict.NOT_RUN, f"no connection: {exc!r}")
         except asyncio.CancelledError:
-            self._closed(address)
+            self._count_closed(address)
             raise
-        conn.on_closed = lambda: self._closed(address)
+        conn.on_closed = lambda: self._count_closed(address)
         if conn.closed:
-            self._closed(address)
+            self._count_closed(address)
         return conn
 
-    def _make_room(self, address: str, limit: int) -> None:
-        """Closes the connection that is idle longest, where all are open."""
-        if self._open.get(address, 0) < limit:
+    def _close_longest_idle(self, address: str, limit: int) -> None:
+        """Closes the longest idle connection if the limit is reached."""
+        if self._open_counts.get(address, 0) < limit:
             return
         conn = self._idle[address].pop(0)
         conn.on_closed = lambda: None
-        conn.abort("makes room for a new one")
-        self._closed(address)
+        conn.abort("replaced by a new connection")
+        self._count_closed(address)
 
     def release(self, address: str, conn: ServerConnection) -> None:
-        """Takes a connection back whose exchange has ended."""
+        """Returns a connection to the pool once its exchange has ended."""
         now = asyncio.get_running_loop().time()
         if conn.is_usable(now):
             self._idle.setdefault(address, []).append(conn)
@@ -338,13 +356,13 @@
             conn.abort("not usable again")
 
     def retire(self, address: str) -> None:
-        """Closes the idle connections to a server that is gone or suspect."""
+        """Closes the idle connections to a server that is gone or failing."""
         for conn in self._idle.pop(address, []):
-            conn.abort("the server is gone or suspect")
+            conn.abort("the server is gone or failing")
 
-    def _closed(self, address: str) -> None:
-        left = self._open.get(address, 0) - 1
-        if left > 0:
-            self._open[address] = left
+    def _count_closed(self, address: str) -> None:
+        remaining = self._open_counts.get(address, 0) - 1
+        if remaining > 0:
+            self._open_counts[address] = remaining
         else:
-            self._open.pop(address, None)
+            self._open_counts.pop(address, None)
--- a/catkinpin/adapters/http/headers.py
+++ b/catkinpin/adapters/http/headers.py
@@ -1,4 +1,4 @@
-"""Header fields in the order and spelling in which they came."""
+"""HTTP header fields that keep their order and spelling."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# Fields that concern one connection only (RFC 9110, section 7.6.1), and those
-# that frame a message, which the sender of each hop sets anew.
+# Fields that apply to one connection only (RFC 9110, section 7.6.1), and the
+# fields that frame a message, which each hop's sender sets itself.
 _HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -25,7 +25,7 @@
 
 
 class Headers:
-    """Header fields; names compare without regard to case."""
+    """A list of header fields, looked up by case-insensitive names."""
 
     def __init__(self, fields: Iterable[tuple[bytes, bytes]] = ()) -> None:
         self._fields = list(fields)
@@ -38,26 +38,32 @@
         self._fields.append((name, value))
 
     def get(self, name: bytes) -> str:
-        """Returns the value of the first field of that name, or ''."""
-        wanted = name.lower()
+        """Returns the value of the first field with a name, or ''."""
+        lower_name = name.lower()
         for key, value in self._fields:
-            if key.lower() == wanted:
+            if key.lower() == lower_name:
                 return value.decode("latin-1").strip()
         return ""
 
     def size(self) -> int:
-        """Returns the bytes that the fields take on the wire."""
+        """Returns the size of the encoded fields in bytes."""
         return sum(len(k) + len(v) + 4 for k, v in self._fields)
 
-    def end_to_end(self, without: frozenset[bytes] = frozenset()) -> Headers:
-        """Returns the fields that travel on, but for some names."""
-        named = {
+    def end_to_end(self, excluded: frozenset[bytes] = frozenset()) -> Headers:
+        """Returns the fields that a proxy forwards.
+
+        Args:
+            excluded: lower-case names of further fields to leave out.
+        """
+        connection_fields = {
             name.strip().lower().encode("latin-1")
             for name in self.get(b"connection").split(",")
         }
-        drop = _HOP_BY_HOP | named | without
-        return Headers((k, v) for k, v in self._fields if k.lower() not in drop)
+        dropped = _HOP_BY_HOP | connection_fields | excluded
+        return Headers(
+            (k, v) for k, v in self._fields if k.lower() not in dropped
+        )
 
     def encode(self) -> bytes:
-        """Returns the fields as they stand on the wire."""
+        """Returns the fields encoded as header lines."""
         return b"".join(k + b": " + v + b"\r\n" for k, v in self._fields)
--- a/catkinpin/adapters/http/server.py
+++ b/catkinpin/adapters/http/server.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 server that hands whole requests to a handler.
+"""An HTTP/1.1 server that passes complete requests to a handler.
 
-One request at a time is handled on a connection; what is pipelined waits. A
-request's body is read whole before the handler sees it.
+Each connection handles one request at a time; pipelined requests wait. The
+handler is called once the body was read completely.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 log = logging.getLogger(__name__)
 
-# Bytes that wait for a slow caller before the sender waits, too.
+# Writing to a slow caller pauses while more bytes are buffered.
 _WRITE_BUFFER_BYTES = 64 * 1024
-# Pipelined requests read ahead; a caller that sends more is not read.
-_MAX_AHEAD = 4
+# Reading from a caller pauses while more pipelined requests wait.
+_MAX_PIPELINED = 4
 
 
 @dataclasses.dataclass
 class ServerLimits:
-    """What a caller may send, and how long it may take.
+    """Size and time limits for callers.
 
     Attributes:
-        header_bytes: most bytes of a request's head.
-        body_bytes: most bytes of a request's body.
-        header_timeout_s: longest from a head's first byte to its last.
-        idle_timeout_s: longest that a connection stays open unused.
+        header_bytes: largest size of a request's head.
+        body_bytes: largest size of a request's body.
+        header_timeout_s: longest time from a head's first byte to its last.
+        idle_timeout_s: idle connections are closed after this time.
     """
 
     header_bytes: int = 16_384
@@ -47,13 +47,13 @@
 
 @dataclasses.dataclass
 class Request:
-    """A whole request.
+    """A complete request.
 
     Attributes:
-        target: path and query as they came.
-        version: as in '1.1'.
+        target: path and query as received.
+        version: HTTP version, such as '1.1'.
         arrived_s: the loop's time at which its head was read.
-        disconnected: set once the caller has left.
+        disconnected: set once the caller has disconnected.
     """
 
     method: bytes
@@ -78,7 +78,7 @@
 
     @property
     def is_disconnected(self) -> bool:
-        """Whether the caller has left."""
+        """Whether the caller has disconnected."""
         return self._conn.closed
 
     def start(
@@ -93,15 +93,17 @@
         Args:
             status: the status code.
             headers: end-to-end fields.
-            length: bytes of the body; None where not known yet.
-            reason: the reason phrase; empty for the usual one.
+            length: the body's size in bytes; None if not known yet.
+            reason: the reason phrase; empty for the standard one.
         """
         self.started = True
         self.status = status
         self._chunked = length is None and self._version == "1.1"
         if length is None and not self._chunked:
             self._conn.close_after = True
-        head = [b"HTTP/1.1 %d %s\r\n" % (status, reason or _phrase(status))]
+        head = [
+            b"HTTP/1.1 %d %s\r\n" % (status, reason or _default_phrase(status))
+        ]
         head.append(headers.encode())
         if self._chunked:
             head.append(b"Transfer-Encoding: chunked\r\n")
@@ -123,17 +125,17 @@
         self._conn.write(data)
 
     async def drain(self) -> None:
-        """Waits while a slow caller has much to read."""
+        """Waits while the write buffer is full."""
         await self._conn.drain()
 
     def finish(self) -> None:
-        """Ends the body."""
+        """Marks the end of the body."""
         if self._chunked:
             self._conn.write(b"0\r\n\r\n")
         self.finished = True
 
     def abort(self) -> None:
-        """Breaks the response off, so that it can't look complete."""
+        """Resets the connection, so that the response can't look complete."""
         self._conn.abort()
 
     def answer(
@@ -143,18 +145,18 @@
         body: bytes = b"",
         reason: bytes = b"",
     ) -> None:
-        """Writes a whole response."""
+        """Writes a complete response."""
         self.start(status, headers or Headers(), len(body), reason)
         self.write(body)
         self.finish()
 
 
 class HttpServer:
-    """Listens and keeps track of its connections.
+    """A listening server and its connections.
 
     Args:
-        handler: answers one request; may raise nothing.
-        limits: what callers may send; read anew for each request.
+        handler: answers one request; must not raise.
+        limits: returns the limits for callers; called for each request.
     """
 
     def __init__(
@@ -169,7 +171,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, address: str) -> str:
-        """Listens and returns the address with its real port."""
+        """Starts to listen; returns the address with the actual port."""
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
         sock = listening.claim(address)
@@ -187,23 +189,23 @@
         return f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
     def count_busy(self) -> int:
-        """Returns how many requests are being read or answered."""
+        """Returns the number of connections that are not idle."""
         return sum(conn.is_busy for conn in self.connections)
 
     def close_when_answered(self) -> None:
-        """Has each connection closed with its next answer."""
+        """Closes each connection after its next response."""
         self.closing = True
         for conn in self.connections:
             conn.close_after = True
 
     def close_idle(self) -> None:
-        """Closes the connections on which nothing is under way."""
+        """Closes the connections without a request in progress."""
         for conn in list(self.connections):
             if not conn.is_busy:
                 conn.close()
 
     async def stop(self) -> None:
-        """Stops listening and cuts what is left."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
         for conn in list(self.connections):
@@ -211,14 +213,14 @@
 
 
 class Connection(asyncio.Protocol):
-    """One caller's connection."""
+    """A caller's connection."""
 
     def __init__(self, server: HttpServer) -> None:
         self._server = server
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: list[Request] = []
+        self._pipelined: list[Request] = []
         self._task: asyncio.Task[None] | None = None
         self._current: Request | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -233,74 +235,76 @@
     @property
     def is_busy(self) -> bool:
         """Whether a request is being read or answered."""
-        return self._reading or bool(self._waiting) or self._task is not None
+        return self._reading or bool(self._pipelined) or self._task is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Notes the transport."""
+        """Stores the transport and starts the idle timer."""
         self._transport = cast("asyncio.Transport", transport)
         self._transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
         self._server.connections.add(self)
-        self._wait_idle()
+        self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tells whoever answers that the caller has left."""
+        """Notifies the handlers that the caller has disconnected."""
         self.closed = True
         self._server.connections.discard(self)
         self._drained.set()
         self._cancel_timer()
         if self._current is not None:
             self._current.disconnected.set()
-        for request in self._waiting:
+        for request in self._pipelined:
             request.disconnected.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
+        """Parses received bytes."""
         if self._refused:
             return
         if not self._reading:
             self._reading = True
-            self._arm(self._server.limits().header_timeout_s, self._late)
+            self._start_timer(
+                self._server.limits().header_timeout_s, self._on_header_timeout
+            )
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             self._refuse(400, "an upgrade is not served")
         except httptools.HttpParserError as exc:
-            # The parser wraps what its callbacks raise.
+            # The parser wraps exceptions of its callbacks.
             cause = exc.__context__
             if isinstance(cause, _TooLargeError):
                 self._refuse(cause.status, "too large")
             else:
                 self._refuse(400, str(exc))
-        if not self._refused and not self._in_head_or_body:
+        if not self._refused and not self._in_message:
             self._reading = False
 
     def pause_writing(self) -> None:
-        """Makes senders wait."""
+        """Makes `drain` wait."""
         self._drained.clear()
 
     def resume_writing(self) -> None:
-        """Lets senders go on."""
+        """Lets `drain` return."""
         self._drained.set()
 
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
+        """Prepares for a new request."""
         self._begin_request()
-        self._in_head_or_body = True
+        self._in_message = True
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the target."""
+        """Adds a part of the target."""
         self._target += url
-        self._count(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header field."""
+        """Adds a header field."""
         self._headers.add(name, value)
-        self._count(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
 
     def on_headers_complete(self) -> None:
-        """Notes the end of the head."""
+        """Checks the body's stated length once the head is complete."""
         self._cancel_timer()
         self._arrived_s = self._loop.time()
         limit = self._server.limits().body_bytes
@@ -311,14 +315,14 @@
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Takes a part of the body."""
+        """Adds a part of the body."""
         self._body += data
         if len(self._body) > self._server.limits().body_bytes:
             raise _TooLargeError(413)
 
     def on_message_complete(self) -> None:
-        """Hands the request on."""
-        self._in_head_or_body = False
+        """Queues the complete request for the handler."""
+        self._in_message = False
         request = Request(
             method=self._parser.get_method(),
             target=self._target,
@@ -330,24 +334,24 @@
         )
         if not self._parser.should_keep_alive():
             self.close_after = True
-        self._waiting.append(request)
-        if len(self._waiting) > _MAX_AHEAD:
+        self._pipelined.append(request)
+        if len(self._pipelined) > _MAX_PIPELINED:
             self._transport.pause_reading()
-        self._next()
+        self._start_next()
 
-    # For the responder.
+    # Called by the responder.
 
     def write(self, data: bytes) -> None:
-        """Writes bytes; dropped where the caller has left."""
+        """Writes bytes; drops them if the caller has disconnected."""
         if not self.closed:
             self._transport.write(data)
 
     async def drain(self) -> None:
-        """Waits while much is still to be sent."""
+        """Waits while the write buffer is full."""
         await self._drained.wait()
 
     def close(self) -> None:
-        """Closes once everything is written."""
+        """Closes the connection once all buffered bytes are sent."""
         if not self.closed:
             self._transport.close()
 
@@ -362,19 +366,19 @@
         self._body = bytearray()
         self._head_bytes = 0
         self._arrived_s = 0.0
-        self._in_head_or_body = False
+        self._in_message = False
 
-    def _count(self, size: int) -> None:
+    def _count_head_bytes(self, size: int) -> None:
         self._head_bytes += size
         if self._head_bytes > self._server.limits().header_bytes:
             raise _TooLargeError(431)
 
-    def _next(self) -> None:
-        if self._task is not None or not self._waiting or self.closed:
+    def _start_next(self) -> None:
+        if self._task is not None or not self._pipelined or self.closed:
             return
         self._cancel_timer()
-        self._current = self._waiting.pop(0)
-        if len(self._waiting) == _MAX_AHEAD:
+        self._current = self._pipelined.pop(0)
+        if len(self._pipelined) == _MAX_PIPELINED:
             self._transport.resume_reading()
         self._task = self._loop.create_task(self._handle(self._current))
 
@@ -389,36 +393,36 @@
             self._task = None
         if not responder.finished:
             self.abort()
-        elif self.close_after and not self._waiting:
+        elif self.close_after and not self._pipelined:
             self.close()
         else:
-            self._next()
+            self._start_next()
             if not self.is_busy:
-                self._wait_idle()
+                self._start_idle_timer()
 
-    def _refuse(self, status: int, why: str) -> None:
-        """Answers what can't be parsed, once all before it is answered."""
+    def _refuse(self, status: int, reason: str) -> None:
+        """Refuses a request; answers if no earlier one is in progress."""
         self._refused = True
         self._reading = False
-        log.info("request refused: %s", why, extra={"status": status})
+        log.info("request refused: %s", reason, extra={"status": status})
         self.close_after = True
         if self._task is None and not self.closed:
             Responder(self, "1.1").answer(status)
             self.close()
 
-    def _late(self) -> None:
+    def _on_header_timeout(self) -> None:
         self._refuse(408, "the head took too long")
 
-    def _wait_idle(self) -> None:
-        self._arm(self._server.limits().idle_timeout_s, self._idle)
+    def _start_idle_timer(self) -> None:
+        self._start_timer(self._server.limits().idle_timeout_s, self._on_idle)
 
-    def _idle(self) -> None:
+    def _on_idle(self) -> None:
         if not self.is_busy:
             self.close()
 
-    def _arm(self, wait_s: float, act: Callable[[], None]) -> None:
+    def _start_timer(self, wait_s: float, callback: Callable[[], None]) -> None:
         self._cancel_timer()
-        self._timer = self._loop.call_later(wait_s, act)
+        self._timer = self._loop.call_later(wait_s, callback)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
@@ -427,10 +431,10 @@
 
 
 class _TooLargeError(Exception):
-    """A request is larger than allowed.
+    """A request exceeds a size limit.
 
     Attributes:
-        status: the status code that says so.
+        status: the status code of the response.
     """
 
     def __init__(self, status: int) -> None:
@@ -438,7 +442,7 @@
         self.status = status
 
 
-def _phrase(status: int) -> bytes:
+def _default_phrase(status: int) -> bytes:
     try:
         return http.HTTPStatus(status).phrase.encode()
     except ValueError:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP with callers and servers whose bytes are not what they should be."""
+"""HTTP client and server with peers that send malformed or late bytes."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     from collections.abc import Coroutine
     from typing import Any
 
-_WAIT_S = 5.0
+_TEST_TIMEOUT_S = 5.0
 
 
-def _run(work: Coroutine[Any, Any, None]) -> None:
+def _run_within_limit(coro: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
-        await asyncio.wait_for(work, _WAIT_S)
+        await asyncio.wait_for(coro, _TEST_TIMEOUT_S)
 
     asyncio.run(bounded())
 
@@ -40,103 +40,109 @@
 async def _exchange(
     pool: Pool, address: str, name: str
 ) -> tuple[ResponseHead | Failure, bytes, Failure | None]:
-    """Sends one request; returns head, body and how the body failed."""
+    """Sends one request; returns head, body and the body's failure, if any."""
     conn = await pool.acquire(address, 9, 1.0)
     assert not isinstance(conn, Failure)
     conn.send(
         _request(name), lambda headers: headers.get(b"request-id") == name
     )
     head = await conn.read_head()
-    body, broke = b"", None
+    body, failure = b"", None
     if isinstance(head, ResponseHead):
         while (part := await conn.read_chunk()) is not None:
             if isinstance(part, Failure):
-                broke = part
+                failure = part
                 break
             body += part
     conn.finish(asyncio.get_running_loop().time())
     pool.release(address, conn)
-    return head, body, broke
+    return head, body, failure
 
 
 class ClientTest(testtools.TestCase):
-    """Answers of servers that misbehave."""
+    """Responses of servers that misbehave."""
 
     def test_late_second_answer_goes_to_nobody(self) -> None:
-        """A server answers one request twice, the second time a bit later.
+        """Guards against giving one caller another caller's response.
 
-        Taken for the answer to whatever came next on the connection, it would
-        hand one caller what another one asked for.
+        A server answers a request twice, the second time a little later, and
+        the second response is attributed to the connection's next request.
         """
 
-        async def twice(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answer_twice(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(sealed(seen, seen.headers["request-id"].encode()))
             await writer.drain()
             await asyncio.sleep(0.02)
             writer.write(sealed(seen, b"again"))
 
-        async def play() -> None:
-            server = RawServer(twice)
+        async def main() -> None:
+            server = RawServer(answer_twice)
             await server.start()
             pool = Pool()
             for name in ("a", "b", "c"):
-                head, body, broke = await _exchange(pool, server.address, name)
+                head, body, failure = await _exchange(
+                    pool, server.address, name
+                )
                 self.assertIsInstance(head, ResponseHead)
-                self.assertEqual((name.encode(), None), (body, broke))
+                self.assertEqual((name.encode(), None), (body, failure))
                 await asyncio.sleep(0.01 if name == "a" else 0.05)
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
     def test_caller_that_leaves_while_a_connection_comes_up(self) -> None:
-        """A caller leaves in the very moment in which its server is reached.
+        """Guards against a request that is sent after its caller has left.
 
-        Were its cancellation swallowed there, the request would be sent all
-        the same, and the server would work for nobody.
+        The caller leaves just when the connection to the server is
+        established, and the cancellation is lost.
         """
 
-        async def never(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def never_answer(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             raise AssertionError("nothing was sent")
 
-        async def play() -> None:
-            server = RawServer(never)
+        async def main() -> None:
+            server = RawServer(never_answer)
             await server.start()
-            for turns in range(40):
-                taking = asyncio.ensure_future(
+            for loop_turns in range(40):
+                acquiring = asyncio.ensure_future(
                     Pool().acquire(server.address, 9, 1)
                 )
-                for _ in range(turns):
+                for _ in range(loop_turns):
                     await asyncio.sleep(0)
-                was_under_way = taking.cancel()
-                await asyncio.wait({taking})
-                self.assertEqual(was_under_way, taking.cancelled(), turns)
+                was_pending = acquiring.cancel()
+                await asyncio.wait({acquiring})
+                self.assertEqual(was_pending, acquiring.cancelled(), loop_turns)
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
     def test_connection_idle_for_long_is_not_used_for_what_runs_once(
         self,
     ) -> None:
-        """A server drops idle connections without a word, and sooner than told.
+        """Guards against unanswered calls that must not be repeated.
 
-        What is sent next on one is reset, and may have run for all one knows:
-        its caller would get no answer to a call that must not be repeated.
+        A server drops idle connections silently and before its stated timeout.
+        The next request on one is reset, and whether it ran is then unknown.
         """
 
         async def answer(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(sealed(seen, b"x"))
 
-        async def play() -> None:
+        async def main() -> None:
             server = RawServer(answer)
             await server.start()
             pool = Pool()
             await _exchange(pool, server.address, "a")
             await asyncio.sleep(0.1)
-            used = await pool.acquire(server.address, 1, 1.0)
-            assert not isinstance(used, Failure)
-            self.assertFalse(used.is_first_exchange)
-            pool.release(server.address, used)
-            # Where all that may be open are, the one idle longest makes room.
+            reused = await pool.acquire(server.address, 1, 1.0)
+            assert not isinstance(reused, Failure)
+            self.assertFalse(reused.is_first_exchange)
+            pool.release(server.address, reused)
+            # The limit is reached, so the longest idle connection is closed.
             conn = await pool.acquire(server.address, 1, 1.0, max_idle_s=0.05)
             assert not isinstance(conn, Failure)
             self.assertTrue(conn.is_first_exchange)
@@ -144,56 +150,63 @@
             conn.abort("the test is over")
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
     def test_answer_to_an_older_request_is_passed_over(self) -> None:
-        """An old answer arrives just where the next one is expected."""
+        """Guards against taking a late response for the expected one."""
 
-        async def late(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answer_late(seen: Seen, writer: asyncio.StreamWriter) -> None:
             old = Seen("POST", "/x", {"request-id": "old"}, b"")
             writer.write(sealed(old, b"not yours"))
             writer.write(sealed(seen, b"yours"))
 
-        async def play() -> None:
-            server = RawServer(late)
+        async def main() -> None:
+            server = RawServer(answer_late)
             await server.start()
             pool = Pool()
-            _, body, broke = await _exchange(pool, server.address, "new")
-            self.assertEqual((b"yours", None), (body, broke))
+            _, body, failure = await _exchange(pool, server.address, "new")
+            self.assertEqual((b"yours", None), (body, failure))
             await _exchange(pool, server.address, "next")
-            # Nothing that follows on such a connection can be told apart.
+            # Later responses on such a connection can't be attributed, so the
+            # next request uses a new one.
             self.assertEqual(2, server.connections)
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
     def test_answer_that_ends_early_is_not_whole(self) -> None:
-        """A server dies within its answer; its length says so."""
+        """Guards against accepting a response shorter than its length.
+
+        A server dies while it sends the response.
+        """
 
-        async def half(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answer_half(seen: Seen, writer: asyncio.StreamWriter) -> None:
             writer.write(sealed(seen, b"0123456789")[:-4])
             writer.close()
 
-        async def play() -> None:
-            server = RawServer(half)
+        async def main() -> None:
+            server = RawServer(answer_half)
             await server.start()
-            _, body, broke = await _exchange(Pool(), server.address, "a")
+            _, body, failure = await _exchange(Pool(), server.address, "a")
             self.assertEqual(b"012345", body)
-            assert broke is not None
-            self.assertIs(Verdict.MAY_HAVE_RUN, broke.verdict)
+            assert failure is not None
+            self.assertIs(Verdict.MAY_HAVE_RUN, failure.verdict)
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
     def test_answer_without_length_ends_with_an_orderly_close_only(
         self,
     ) -> None:
-        """A server gives no length; one such answer is reset on its way.
+        """Guards against failing responses that state no length.
 
-        Both look alike but for the way in which the connection ends.
+        Such a response is complete if the connection is closed in order. If
+        the connection is reset, it is incomplete.
         """
 
-        async def unframed(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def answer_without_length(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             name = seen.headers["request-id"]
             head = f"HTTP/1.1 200 OK\r\nRequest-Id: {name}\r\n\r\npart"
             writer.write(head.encode())
@@ -204,46 +217,57 @@
             else:
                 writer.close()
 
-        async def play() -> None:
-            server = RawServer(unframed)
+        async def main() -> None:
+            server = RawServer(answer_without_length)
             await server.start()
-            _, body, broke = await _exchange(Pool(), server.address, "whole")
-            self.assertEqual((b"part", None), (body, broke))
+            _, body, failure = await _exchange(Pool(), server.address, "whole")
+            self.assertEqual((b"part", None), (body, failure))
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
     def test_bytes_that_are_no_answer_end_the_connection(self) -> None:
-        """A faulty server sends something that is not HTTP."""
+        """Guards against waiting for ever when a server does not send HTTP."""
 
-        async def garbage(seen: Seen, writer: asyncio.StreamWriter) -> None:
+        async def send_garbage(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(b"\x00\x01 nonsense\r\n\r\n")
 
-        async def play() -> None:
-            server = RawServer(garbage)
+        async def main() -> None:
+            server = RawServer(send_garbage)
             await server.start()
             head, _, _ = await _exchange(Pool(), server.address, "a")
             assert isinstance(head, Failure)
             self.assertIs(Verdict.MAY_HAVE_RUN, head.verdict)
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
     def test_connections_to_a_server_are_bounded(self) -> None:
-        """A server resets what goes beyond its limit, requests included."""
+        """Guards against exceeding a server's connection limit.
+
+        The server resets connections beyond its limit, and their requests.
+        """
 
-        async def never(seen: Seen, writer: asyncio.StreamWriter) -> None:
-            await asyncio.sleep(_WAIT_S)
+        async def never_answer(
+            seen: Seen, writer: asyncio.StreamWriter
+        ) -> None:
+            await asyncio.sleep(_TEST_TIMEOUT_S)
 
-        async def play() -> None:
-            server = RawServer(never)
+        async def main() -> None:
+            server = RawServer(never_answer)
             await server.start()
             pool = Pool()
-            taken = [await pool.acquire(server.address, 2, 1.0) for _ in "abc"]
-            refused = [t for t in taken if isinstance(t, Failure)]
+            acquired = [
+                await pool.acquire(server.address, 2, 1.0) for _ in "abc"
+            ]
+            refused = [
+                result for result in acquired if isinstance(result, Failure)
+            ]
             self.assertEqual(1, len(refused))
             self.assertIs(Verdict.NOT_RUN, refused[0].verdict)
-            for conn in taken:
+            for conn in acquired:
                 if not isinstance(conn, Failure):
                     conn.abort("done")
             await asyncio.sleep(0.01)
@@ -251,15 +275,15 @@
             self.assertNotIsInstance(again, Failure)
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
 
-async def _echo(request: Request, responder: Responder) -> None:
+async def _answer_echo(request: Request, responder: Responder) -> None:
     responder.answer(200, Headers(), request.target + b"|" + request.body)
 
 
-async def _talk(address: str, data: bytes) -> bytes:
-    """Sends bytes and returns all that comes until the server closes."""
+async def _exchange_raw(address: str, data: bytes) -> bytes:
+    """Sends bytes and returns all bytes received until the server closes."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -269,75 +293,78 @@
 
 
 class ServerTest(testtools.TestCase):
-    """Requests of callers that misbehave, or that come in odd pieces."""
+    """Requests of callers that misbehave or send in unusual pieces."""
 
-    def _play(self, data: bytes, limits: ServerLimits | None = None) -> bytes:
+    def _response_to(
+        self, data: bytes, limits: ServerLimits | None = None
+    ) -> bytes:
         answers: list[bytes] = []
 
-        async def play() -> None:
-            told = limits or ServerLimits(idle_timeout_s=0.1)
-            server = HttpServer(_echo, lambda: told)
+        async def main() -> None:
+            current_limits = limits or ServerLimits(idle_timeout_s=0.1)
+            server = HttpServer(_answer_echo, lambda: current_limits)
             address = await server.start("127.0.0.1:0")
-            answers.append(await _talk(address, data))
+            answers.append(await _exchange_raw(address, data))
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
         return answers[0]
 
     def test_pipelined_requests_are_answered_in_order(self) -> None:
-        """A caller doesn't wait for one answer before it asks again."""
-        answer = self._play(_request("a", b"one") + _request("b", b"two"))
+        """Guards against responses in another order than the requests."""
+        answer = self._response_to(
+            _request("a", b"one") + _request("b", b"two")
+        )
         self.assertLess(answer.index(b"|one"), answer.index(b"|two"))
 
     def test_target_and_chunked_body_pass_unchanged(self) -> None:
-        """A path with escapes and a body in chunks; neither is rewritten."""
+        """Guards against rewriting an escaped path or a chunked body."""
         data = (
             b"POST /a%2Fb//c/../d?q=%20+1 HTTP/1.1\r\nHost: h\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n"
             b"3\r\none\r\n4\r\n two\r\n0\r\n\r\n"
         )
-        answer = self._play(data)
+        answer = self._response_to(data)
         self.assertIn(b"/a%2Fb//c/../d?q=%20+1|one two", answer)
 
     def test_what_is_too_large_is_refused_and_the_connection_closed(
         self,
     ) -> None:
-        """A body or a head beyond the limits; it is not read to its end."""
-        small = ServerLimits(header_bytes=200, body_bytes=10)
-        answer = self._play(_request("a", b"x" * 11), small)
+        """Guards against reading heads or bodies beyond the limits."""
+        small_limits = ServerLimits(header_bytes=200, body_bytes=10)
+        answer = self._response_to(_request("a", b"x" * 11), small_limits)
         self.assertTrue(answer.startswith(b"HTTP/1.1 413 "))
         long = b"GET / HTTP/1.1\r\nX: " + b"y" * 300 + b"\r\n\r\n"
-        answer = self._play(long, small)
+        answer = self._response_to(long, small_limits)
         self.assertTrue(answer.startswith(b"HTTP/1.1 431 "))
 
     def test_what_is_not_http_gets_400(self) -> None:
-        """A stranger talks to the port."""
-        answer = self._play(b"hello\r\n\r\n")
+        """Guards against waiting when a client does not send HTTP."""
+        answer = self._response_to(b"hello\r\n\r\n")
         self.assertTrue(answer.startswith(b"HTTP/1.1 400 "))
 
     def test_caller_that_never_ends_its_head_is_let_go(self) -> None:
-        """A caller sends half a head and then nothing.
+        """Guards against running out of file descriptors.
 
-        Its connection would stay for ever, and enough of them take all
-        descriptors.
+        A caller sends half a head and then nothing; without a timeout, its
+        connection would stay open for ever.
         """
         limits = ServerLimits(header_timeout_s=0.05)
-        answer = self._play(b"GET / HTTP/1.1\r\nHo", limits)
+        answer = self._response_to(b"GET / HTTP/1.1\r\nHo", limits)
         self.assertTrue(answer.startswith(b"HTTP/1.1 408 "))
 
     def test_handler_learns_that_its_caller_has_left(self) -> None:
-        """A caller goes away while its request is served.
-
-        Unnoticed, a server would work on for nobody.
-        """
+        """Guards against work for a caller that has disconnected."""
         disconnected = asyncio.Event()
 
-        async def wait(request: Request, responder: Responder) -> None:
+        async def wait_for_disconnect(
+            request: Request, responder: Responder
+        ) -> None:
             await request.disconnected.wait()
             disconnected.set()
 
-        async def play() -> None:
-            server = HttpServer(wait)
+        async def main() -> None:
+            server = HttpServer(wait_for_disconnect)
             address = await server.start("127.0.0.1:0")
             host, port = address.split(":")
             _, writer = await asyncio.open_connection(host, int(port))
@@ -347,24 +374,24 @@
             await disconnected.wait()
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
 
     def test_broken_off_answer_cannot_look_whole(self) -> None:
-        """A server dies within a stream; its caller must notice."""
+        """Guards against an aborted stream that looks complete to a caller."""
 
-        async def half(request: Request, responder: Responder) -> None:
+        async def answer_half(request: Request, responder: Responder) -> None:
             responder.start(200, Headers(), None)
             responder.write(b"part")
             responder.abort()
 
-        async def play() -> None:
-            server = HttpServer(half)
+        async def main() -> None:
+            server = HttpServer(answer_half)
             address = await server.start("127.0.0.1:0")
             try:
-                answer = await _talk(address, _request("a"))
+                answer = await _exchange_raw(address, _request("a"))
             except ConnectionError:
                 answer = b""
             self.assertNotIn(b"0\r\n\r\n", answer)
             await server.stop()
 
-        _run(play())
+        _run_within_limit(main())
