--- a/catkinpin/adapters/entry/__init__.py
+++ b/catkinpin/adapters/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers and operators over HTTP, dispatch."""
+"""The entry process: HTTP for callers and operators, and dispatch."""
--- a/catkinpin/adapters/entry/admin.py
+++ b/catkinpin/adapters/entry/admin.py
@@ -1,4 +1,4 @@
-"""The inner HTTP interface: health, metrics, servers."""
+"""The internal HTTP interface: health, metrics and backend servers."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
     from catkinpin.adapters.entry.context import EntryContext
 
-_MAX_BODY = 4 * 1024 * 1024
-_ANNOUNCE_EVERY_MS = 500
+_MAX_BODY_BYTES = 4 * 1024 * 1024
+_ANNOUNCE_INTERVAL_MS = 500
 
 Count = pydantic.NonNegativeInt
 _Body = TypeVar("_Body", bound=pydantic.BaseModel)
 
 
 class Announcement(pydantic.BaseModel):
-    """What a backend server says about itself; see docs/user/servers.md."""
+    """A backend server's announcement of itself; see docs/user/servers.md."""
 
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
 
@@ -46,8 +46,8 @@
     checks_sender: bool = False
     held: list[str] = []
 
-    def report(self) -> messages.ServerReport:
-        """Returns the announcement as it travels between our processes."""
+    def to_report(self) -> messages.ServerReport:
+        """Returns the announcement as a message to the replicas."""
         fields = self.model_dump()
         fields["domain"] = fields.pop("failure_domain")
         return messages.ServerReport(**fields)
@@ -73,8 +73,8 @@
     incarnation: str = pydantic.Field(min_length=1, max_length=100)
     events: list[CacheEvent] = pydantic.Field(max_length=10_000)
 
-    def message(self) -> messages.CacheEvents:
-        """Returns the events as they travel between our processes."""
+    def to_message(self) -> messages.CacheEvents:
+        """Returns the events as a message to the replicas."""
         return messages.CacheEvents(
             server=self.server,
             incarnation=self.incarnation,
@@ -82,14 +82,17 @@
         )
 
 
-def make_app(role: str, not_ready: Callable[[], str]) -> sanic.Sanic[Any, Any]:
+def make_app(
+    role: str, unready_reason: Callable[[], str]
+) -> sanic.Sanic[Any, Any]:
     """Returns an application with health and metrics.
 
     Args:
         role: part of the application's name.
-        not_ready: returns why no work should come here, or an empty string.
+        unready_reason: returns why this process should get no work, or an
+            empty string.
     """
-    app = web.new_app(role, _MAX_BODY)
+    app = web.new_app(role, _MAX_BODY_BYTES)
 
     @app.get("/health/live")
     async def live(req: sanic.Request) -> Any:
@@ -97,7 +100,7 @@
 
     @app.get("/health/ready")
     async def ready(req: sanic.Request) -> Any:
-        problem = not_ready()
+        problem = unready_reason()
         return response.text(
             (problem or "ready") + "\n", status=503 if problem else 200
         )
@@ -118,16 +121,16 @@
 
 
 def add_server_routes(app: sanic.Sanic[Any, Any], entry: EntryContext) -> None:
-    """Adds what backend servers call."""
+    """Adds the routes for backend servers."""
 
     @app.post("/v1/servers/announce")
     async def announce(req: sanic.Request) -> Any:
-        entry.announced(_parse(Announcement, req.body).report())
-        return response.json({"next_ms": _ANNOUNCE_EVERY_MS})
+        entry.handle_announcement(_parse(Announcement, req.body).to_report())
+        return response.json({"next_ms": _ANNOUNCE_INTERVAL_MS})
 
     @app.post("/v1/servers/events")
     async def events(req: sanic.Request) -> Any:
-        entry.cache_changed(_parse(CacheEvents, req.body).message())
+        entry.forward_cache_events(_parse(CacheEvents, req.body).to_message())
         return response.json({})
 
 
--- a/catkinpin/adapters/entry/backends.py
+++ b/catkinpin/adapters/entry/backends.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, and questions about attempts."""
+"""HTTP sessions to backend servers, and requests for attempts' status."""
 
 from __future__ import annotations
 
@@ -34,7 +34,12 @@
 
 
 class AttemptState(enum.Enum):
-    """What a server says of an attempt."""
+    """State of an attempt, as its server reports it.
+
+    Attributes:
+        UNKNOWN: the server did not answer or can't tell.
+        GONE: the server was restarted or accepts no connections.
+    """
 
     RUNNING = "running"
     DONE = "done"
@@ -45,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AttemptStatus:
-    """A server's status of an attempt, with the answer once it is done."""
+    """Status of an attempt, with its answer once it is done."""
 
     attempt_state: AttemptState
     answer: Answer | None = None
@@ -54,12 +59,12 @@
 async def _send_once(
     req: ClientRequest, handler: ClientHandlerType
 ) -> ClientResponse:
-    """Keeps aiohttp from sending a request a second time by itself.
+    """Prevents aiohttp from sending a request a second time by itself.
 
-    The library sends GET, PUT and DELETE again when a connection breaks
-    before the answer, on a fresh connection too. A service that broke off
-    after it had acted would act twice. An error of a type that the library
-    does not catch ends its loop.
+    aiohttp resends GET, PUT and DELETE if a connection breaks before the
+    response, even on a new connection. A service that acted before the
+    connection broke would then act twice. Raising an error of a type that
+    aiohttp does not catch ends its retries.
     """
     try:
         return await handler(req)
@@ -69,58 +74,66 @@
         raise SentError(type(exc).__name__) from exc
 
 
-# Errors of a connection on which the request may have left this host.
-BROKEN = (SentError, aiohttp.ClientError, OSError)
-# Errors of a connection that never stood.
-UNCONNECTED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+# Connection errors after which the request may have left this host.
+CONNECTION_ERRORS = (SentError, aiohttp.ClientError, OSError)
+# Errors of a connection that was never established.
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
-class Backends:
-    """Client sessions towards backend servers.
+class BackendSessions:
+    """Client sessions for backend servers.
 
     Attributes:
-        pooled: keeps connections open; for requests that may run twice.
-        fresh: a new connection for each request. A server may close a kept
-            connection while a request is on its way, and whether it ran is
-            then unknown.
+        pooled: reuses connections; for requests that may run twice.
+        unpooled: opens a new connection for each request. A server may close a
+            reused connection just when a request is sent, and whether the
+            request ran is then unknown.
     """
 
-    def __init__(self, connect_s: float) -> None:
-        self.pooled = _session(connect_s, force_close=False)
-        self.fresh = _session(connect_s, force_close=True)
+    def __init__(self, connect_timeout_s: float) -> None:
+        self.pooled = _make_session(connect_timeout_s, force_close=False)
+        self.unpooled = _make_session(connect_timeout_s, force_close=True)
 
     async def close(self) -> None:
         """Closes all connections."""
         await self.pooled.close()
-        await self.fresh.close()
+        await self.unpooled.close()
 
-    async def ask(self, grant: Granted, timeout_s: float) -> AttemptStatus:
-        """Asks a server, on a new connection, what became of an attempt."""
+    async def query_attempt(
+        self, grant: Granted, timeout_s: float
+    ) -> AttemptStatus:
+        """Asks a server for an attempt's status, on a new connection."""
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
-            async with self.fresh.get(
+            async with self.unpooled.get(
                 attempt_url(grant), timeout=timeout
             ) as resp:
                 return await _attempt_status(grant, resp)
-        except UNCONNECTED:
+        except CONNECT_ERRORS:
             return AttemptStatus(AttemptState.GONE)
-        except (*BROKEN, TimeoutError):
+        except (*CONNECTION_ERRORS, TimeoutError):
             return AttemptStatus(AttemptState.UNKNOWN)
 
     async def cancel(self, grant: Granted) -> None:
-        """Tells an engine that nobody wants an attempt's answer any more."""
+        """Cancels an attempt at an engine; ignores connection errors."""
         timeout = aiohttp.ClientTimeout(total=_CANCEL_TIMEOUT_S)
         try:
-            async with self.fresh.delete(attempt_url(grant), timeout=timeout):
+            async with self.unpooled.delete(
+                attempt_url(grant), timeout=timeout
+            ):
                 pass
-        except (*BROKEN, TimeoutError) as exc:
+        except (*CONNECTION_ERRORS, TimeoutError) as exc:
             log.debug("cancel failed: %s", type(exc).__name__)
 
 
-def _session(connect_s: float, *, force_close: bool) -> aiohttp.ClientSession:
+def _make_session(
+    connect_timeout_s: float, *, force_close: bool
+) -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, force_close=force_close),
-        timeout=aiohttp.ClientTimeout(total=None, sock_connect=connect_s),
+        timeout=aiohttp.ClientTimeout(
+            total=None, sock_connect=connect_timeout_s
+        ),
         middlewares=(_send_once,),
         cookie_jar=aiohttp.DummyCookieJar(),
     )
@@ -131,42 +144,47 @@
     return f"{grant.server.address}/v1/attempts/{grant.attempt}"
 
 
-def crossed(grant: Granted, resp: ClientResponse) -> bool:
-    """Returns whether an answer belongs to another attempt; counts it."""
-    named = resp.headers.get(ATTEMPT_HEADER, grant.attempt)
-    if named == grant.attempt:
+def answers_other_attempt(grant: Granted, resp: ClientResponse) -> bool:
+    """Returns whether an answer names another attempt; counts and logs it."""
+    named_attempt = resp.headers.get(ATTEMPT_HEADER, grant.attempt)
+    if named_attempt == grant.attempt:
         return False
-    log.warning("answer to another attempt dropped", extra={"attempt": named})
+    log.warning(
+        "answer to another attempt dropped", extra={"attempt": named_attempt}
+    )
     metrics.DROPPED_ANSWERS.inc()
     return True
 
 
-def other_incarnation(grant: Granted, resp: ClientResponse) -> bool:
-    """Returns whether the server is another incarnation than was granted.
+def is_other_incarnation(grant: Granted, resp: ClientResponse) -> bool:
+    """Returns whether another incarnation answers than the granted one.
 
-    A server that came back under its address knows nothing of what its
-    earlier incarnation did; its "never heard of it" proves nothing.
+    A restarted server knows nothing of its earlier incarnation's attempts, so
+    its answer that an attempt is unknown does not prove that it did not run.
     """
-    named = resp.headers.get(INCARNATION_HEADER)
-    return named is not None and named != grant.server.incarnation
+    named_incarnation = resp.headers.get(INCARNATION_HEADER)
+    return (
+        named_incarnation is not None
+        and named_incarnation != grant.server.incarnation
+    )
 
 
-def says_not_run(grant: Granted, resp: ClientResponse) -> bool:
-    """Returns whether the granted incarnation of a server did not run it."""
+def confirms_not_run(grant: Granted, resp: ClientResponse) -> bool:
+    """Returns whether the granted incarnation states that it did not run."""
     verdict = resp.headers.get(VERDICT_HEADER)
-    return verdict == Verdict.NOT_RUN and not other_incarnation(grant, resp)
+    return verdict == Verdict.NOT_RUN and not is_other_incarnation(grant, resp)
 
 
 async def _attempt_status(
     grant: Granted, resp: ClientResponse
 ) -> AttemptStatus:
-    if other_incarnation(grant, resp):
+    if is_other_incarnation(grant, resp):
         return AttemptStatus(AttemptState.GONE)
-    # A plain service may answer any path; only one that names the attempt
-    # has understood the question.
+    # A plain service may answer any path. Only an answer that names the attempt
+    # is a status.
     if resp.headers.get(ATTEMPT_HEADER) != grant.attempt:
         return AttemptStatus(AttemptState.UNKNOWN)
-    if resp.status == _STATUS_NOT_FOUND and says_not_run(grant, resp):
+    if resp.status == _STATUS_NOT_FOUND and confirms_not_run(grant, resp):
         return AttemptStatus(AttemptState.NOT_RUN)
     state = resp.headers.get(STATE_HEADER, "")
     if state in (STATE_WAITING, STATE_RUNNING):
@@ -186,7 +204,7 @@
 
 
 def error_text(body: bytes) -> str:
-    """Returns the text of a server's error, whatever its form."""
+    """Returns the text of a server's error, parsed as JSON if possible."""
     try:
         return str(json.loads(body)["error"])[:500]
     except (ValueError, KeyError, TypeError):
--- a/catkinpin/adapters/entry/callers.py
+++ b/catkinpin/adapters/entry/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""The HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 VERDICT_HEADER = "Catkinpin-Verdict"
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/@-]{0,199}")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/@-]{0,199}")
 _MAX_SEQ = 1_000_000
 _MAX_DEADLINE_MS = 3_600_000
 _HOP_BY_HOP = {
@@ -35,24 +35,24 @@
     "keep-alive", "proxy-authorization", "te", "trailer",
     "transfer-encoding", "upgrade", "idempotency-key", "traceparent",
 }  # fmt: skip
-_OWN_HEADERS = "catkinpin-"
+_OWN_HEADER_PREFIX = "catkinpin-"
 _METHODS = ["GET", "POST", "PUT", "PATCH", "DELETE"]
 _MS_PER_S = 1000
 _STATUS_OK = 200
-_GET_TIMEOUT_S = 5.0
+_PROGRAM_TIMEOUT_S = 5.0
 
 
 def make_app(entry: EntryContext) -> sanic.Sanic[Any, Any]:
-    """Returns the application that answers callers."""
+    """Returns the application that serves callers."""
     app = web.new_app("callers", entry.cfg.max_body_bytes)
 
     @app.post("/v1/chat/completions")
     async def chat_completions(req: sanic.Request) -> Any:
-        return await _chat(entry, req)
+        return await _handle_chat(entry, req)
 
     @app.route("/v1/services/<name:str>/<path:path>", methods=_METHODS)
     async def service(req: sanic.Request, name: str, path: str) -> Any:
-        return await _service(entry, req, name, path)
+        return await _handle_service(entry, req, name, path)
 
     @app.get("/v1/programs/<program:path>")
     async def get_program(req: sanic.Request, program: str) -> Any:
@@ -68,20 +68,20 @@
 
     @app.get("/health/ready")
     async def ready(req: sanic.Request) -> Any:
-        problem = entry.not_ready()
+        problem = entry.unready_reason()
         return response.text(
             (problem or "ready") + "\n", status=503 if problem else 200
         )
 
     @app.exception(Exception)
     async def failed(req: sanic.Request, exc: Exception) -> Any:
-        return _from_exception(exc)
+        return _exception_response(exc)
 
     return app
 
 
 def refusal_response(refused: messages.Refused) -> Any:
-    """Returns a refusal as an OpenAI error object with our headers."""
+    """Returns a refusal as an OpenAI error object with Catkinpin headers."""
     headers: dict[str, str] = {VERDICT_HEADER: refused.verdict}
     if refused.retry_after_ms:
         seconds = -(-refused.retry_after_ms // _MS_PER_S)
@@ -106,7 +106,8 @@
     }
 
 
-def _not_run(reason: Reason, text: str, detail: str = "") -> messages.Refused:
+def _refusal(reason: Reason, text: str, detail: str = "") -> messages.Refused:
+    """Returns a refusal of a request that did not run."""
     return messages.Refused(
         ask=0,
         reason=reason,
@@ -117,16 +118,16 @@
     )
 
 
-def _from_exception(exc: Exception) -> Any:
+def _exception_response(exc: Exception) -> Any:
     if isinstance(exc, BadRequestError):
-        refused = _not_run(Reason.BAD_REQUEST, str(exc), exc.field)
+        refused = _refusal(Reason.BAD_REQUEST, str(exc), exc.field)
         metrics.REFUSALS.labels(refused.reason).inc()
         return refusal_response(refused)
     if isinstance(exc, _RefusedError):
         metrics.REFUSALS.labels(exc.refused.reason).inc()
         return refusal_response(exc.refused)
     if isinstance(exc, sanic_exceptions.SanicException):
-        refused = _not_run(Reason.BAD_REQUEST, str(exc))
+        refused = _refusal(Reason.BAD_REQUEST, str(exc))
         return response.json(
             _error_body(refused),
             status=exc.status_code,
@@ -150,38 +151,38 @@
         self.refused = refused
 
 
-def _account(entry: EntryContext, req: sanic.Request) -> str:
-    """Returns the account whose key the request carries."""
+def _authenticate(entry: EntryContext, req: sanic.Request) -> str:
+    """Returns the account of the request's key, while the lease is valid."""
     if problem := entry.lease.problem():
         text = f"this host does not serve now: {problem}"
-        raise _RefusedError(_not_run(Reason.NOT_READY, text))
+        raise _RefusedError(_refusal(Reason.NOT_READY, text))
     scheme, _, key = req.headers.get("authorization", "").partition(" ")
     if scheme.lower() == "bearer" and key:
-        account = entry.configured.accounts.get(
+        account = entry.active_config.accounts.get(
             configuration.key_digest(key.strip())
         )
         if account is not None:
             return account
     text = "Authorization: no account has this key"
-    raise _RefusedError(_not_run(Reason.UNAUTHORIZED, text, "Authorization"))
+    raise _RefusedError(_refusal(Reason.UNAUTHORIZED, text, "Authorization"))
 
 
-def _check_ready(entry: EntryContext) -> None:
+def _check_not_stopping(entry: EntryContext) -> None:
     if entry.stopping:
         text = "this host is stopping; another will answer"
-        raise _RefusedError(_not_run(Reason.STOPPING, text))
+        raise _RefusedError(_refusal(Reason.STOPPING, text))
 
 
-def _name(req: sanic.Request, header: str, default: str) -> str:
+def _id_header(req: sanic.Request, header: str, default: str) -> str:
     value: str = req.headers.get(header, default)
-    if value and not _NAME.fullmatch(value):
+    if value and not _NAME_PATTERN.fullmatch(value):
         raise BadRequestError(
             header, "1 to 200 letters, digits and . _ : / @ - are allowed"
         )
     return value
 
 
-def _number(
+def _int_header(
     req: sanic.Request, header: str, default: int, low: int, high: int
 ) -> int:
     text = req.headers.get(header, "")
@@ -194,7 +195,7 @@
     return int(text)
 
 
-def _flag(req: sanic.Request, header: str, *, default: bool) -> bool:
+def _bool_header(req: sanic.Request, header: str, *, default: bool) -> bool:
     text = req.headers.get(header, "").lower()
     if not text:
         return default
@@ -203,15 +204,15 @@
     return bool(text == "true")
 
 
-def _begin(
+def _make_begin(
     entry: EntryContext, req: sanic.Request, kind: str, target: str
 ) -> messages.Begin:
-    """Returns what the headers say of a call."""
-    account = _account(entry, req)
-    _check_ready(entry)
-    request_id = _name(req, "Idempotency-Key", uuid.uuid4().hex)
-    program = _name(req, "Catkinpin-Program", f"single-{request_id}")
-    parent = _name(req, "Catkinpin-Parent", "")
+    """Returns the begin message that a call's headers describe."""
+    account = _authenticate(entry, req)
+    _check_not_stopping(entry)
+    request_id = _id_header(req, "Idempotency-Key", uuid.uuid4().hex)
+    program = _id_header(req, "Catkinpin-Program", f"single-{request_id}")
+    parent = _id_header(req, "Catkinpin-Parent", "")
     if parent and sharding.root_of(parent) != sharding.root_of(program):
         raise BadRequestError(
             "Catkinpin-Parent",
@@ -225,9 +226,11 @@
         kind=kind,
         target=target,
         parent=parent,
-        seq=_number(req, "Catkinpin-Seq", 0, 1, _MAX_SEQ),
-        idempotent=_flag(req, "Catkinpin-Idempotent", default=kind == "model"),
-        deadline_ms=_number(
+        seq=_int_header(req, "Catkinpin-Seq", 0, 1, _MAX_SEQ),
+        idempotent=_bool_header(
+            req, "Catkinpin-Idempotent", default=kind == "model"
+        ),
+        deadline_ms=_int_header(
             req,
             "Catkinpin-Deadline-Ms",
             entry.cfg.default_deadline_ms,
@@ -242,23 +245,23 @@
 
 def _forwarded_headers(req: sanic.Request) -> list[tuple[str, str]]:
     return [
-        # The names are of a type of their own that our codec can't encode.
+        # msgspec can't encode Sanic's own type of header names.
         (str(name), value)
         for name, value in req.headers.items()
         if name.lower() not in _HOP_BY_HOP
-        and not name.lower().startswith(_OWN_HEADERS)
+        and not name.lower().startswith(_OWN_HEADER_PREFIX)
     ]
 
 
-def _replace(begin: messages.Begin, **changes: Any) -> messages.Begin:
+def _with_fields(begin: messages.Begin, **changes: Any) -> messages.Begin:
     return msgspec.structs.replace(begin, **changes)
 
 
-async def _chat(entry: EntryContext, req: sanic.Request) -> Any:
-    begin = _begin(entry, req, "model", "")
+async def _handle_chat(entry: EntryContext, req: sanic.Request) -> Any:
+    begin = _make_begin(entry, req, "model", "")
     parsed = chat.parse_request(req.body)
     canonical = chat.canonical_messages(parsed)
-    begin = _replace(
+    begin = _with_fields(
         begin,
         target=parsed.model,
         whole=req.headers.get("Catkinpin-History", "whole") != "new",
@@ -275,20 +278,20 @@
             headers=[],
             body=req.body,
             messages=canonical,
-            resendable="idempotency-key" in req.headers,
+            is_resendable="idempotency-key" in req.headers,
         )
     )
     if parsed.stream:
-        return await _stream(req, call, begin)
-    return _whole(await call.wait(), begin)
+        return await _stream_response(req, call, begin)
+    return _answer_response(await call.wait_final(), begin)
 
 
-async def _service(
+async def _handle_service(
     entry: EntryContext, req: sanic.Request, name: str, path: str
 ) -> Any:
-    begin = _begin(entry, req, "service", name)
+    begin = _make_begin(entry, req, "service", name)
     query = f"?{req.query_string}" if req.query_string else ""
-    begin = _replace(
+    begin = _with_fields(
         begin,
         fingerprint=digest.of_bytes(
             f"{req.method} {name} {path}{query}\0".encode() + req.body
@@ -302,13 +305,13 @@
             headers=_forwarded_headers(req),
             body=req.body,
             messages=[],
-            resendable="idempotency-key" in req.headers,
+            is_resendable="idempotency-key" in req.headers,
         )
     )
-    return _whole(await call.wait(), begin)
+    return _answer_response(await call.wait_final(), begin)
 
 
-def _whole(
+def _answer_response(
     final: messages.Finished | messages.Refused, begin: messages.Begin
 ) -> Any:
     if isinstance(final, messages.Refused):
@@ -327,24 +330,24 @@
     )
 
 
-async def _stream(
+async def _stream_response(
     req: sanic.Request, call: RunningCall, begin: messages.Begin
 ) -> Any:
-    """Streams events; those that end the answer wait until it is durable."""
-    held: list[bytes] = []
+    """Streams events; sends the last ones once the answer is stored."""
+    held_back: list[bytes] = []
     resp = None
-    while (ready := await call.ready()) is not None:
-        fresh = []
+    while (ready := await call.next_events()) is not None:
+        unsent = []
         for data in ready:
-            if held or _ends_answer(data):
-                held.append(data)
+            if held_back or _ends_answer(data):
+                held_back.append(data)
             else:
-                fresh.append(b"data: " + data + b"\n\n")
-        if fresh:
-            resp = resp or await _respond(req, begin)
-            # Each send costs the library's signals; one carries all events
-            # that wait.
-            await resp.send(b"".join(fresh))
+                unsent.append(b"data: " + data + b"\n\n")
+        if unsent:
+            resp = resp or await _start_stream(req, begin)
+            # Sanic emits signals for each send, so all queued events are sent
+            # at once.
+            await resp.send(b"".join(unsent))
     final = call.final
     assert final is not None
     if isinstance(final, messages.Refused):
@@ -354,21 +357,21 @@
         await resp.send(b"data: " + error + b"\n\n")
     else:
         if final.answer.status != _STATUS_OK:
-            return _whole(final, begin)
-        if resp is None and not held:
-            held = [
+            return _answer_response(final, begin)
+        if resp is None and not held_back:
+            held_back = [
                 json.dumps(chunk).encode()
                 for chunk in chat.chunks_of(final.answer.body)
             ]
-        resp = resp or await _respond(req, begin)
-        for data in held:
+        resp = resp or await _start_stream(req, begin)
+        for data in held_back:
             await resp.send(b"data: " + data + b"\n\n")
         await resp.send(b": catkinpin-verdict ran\n\ndata: [DONE]\n\n")
     await resp.eof()
     return resp
 
 
-async def _respond(req: sanic.Request, begin: messages.Begin) -> Any:
+async def _start_stream(req: sanic.Request, begin: messages.Begin) -> Any:
     return await req.respond(
         content_type="text/event-stream",
         headers={
@@ -387,19 +390,19 @@
     choices: list[_Choice] = []
 
 
-_event = msgspec.json.Decoder(_Event)
+_event_decoder = msgspec.json.Decoder(_Event)
 
 
 def _ends_answer(data: bytes) -> bool:
-    choices = _event.decode(data).choices
+    choices = _event_decoder.decode(data).choices
     return any(choice.finish_reason for choice in choices)
 
 
 def _program_key(
     entry: EntryContext, req: sanic.Request, program: str
 ) -> messages.ProgramKey:
-    account = _account(entry, req)
-    if not _NAME.fullmatch(program):
+    account = _authenticate(entry, req)
+    if not _NAME_PATTERN.fullmatch(program):
         raise BadRequestError("program", "not a program id")
     return messages.ProgramKey(account=account, program=program)
 
@@ -423,14 +426,14 @@
 
 
 async def _program_reply(
-    entry: EntryContext, key: messages.ProgramKey, make: Any
+    entry: EntryContext, key: messages.ProgramKey, make_message: Any
 ) -> Any:
     group = sharding.group_of(key, entry.cfg.shards)
     try:
-        info = await entry.replicas.ask(group, make, _GET_TIMEOUT_S)
+        info = await entry.replicas.ask(group, make_message, _PROGRAM_TIMEOUT_S)
     except PeerLostError:
         text = "the shard's leader did not answer in time"
-        return refusal_response(_not_run(Reason.NO_LEADER, text))
+        return refusal_response(_refusal(Reason.NO_LEADER, text))
     if isinstance(info, messages.Refused):
         return refusal_response(info)
     return response.json(
--- a/catkinpin/adapters/entry/calls.py
+++ b/catkinpin/adapters/entry/calls.py
@@ -1,4 +1,4 @@
-"""A call at the caller's entry: begin, dispatch, finish."""
+"""Runs calls at the caller's entry: begin, dispatch and finish."""
 
 from __future__ import annotations
 
@@ -29,13 +29,14 @@
 
 log = logging.getLogger(__name__)
 
-# How long the outcome of a dispatch is offered to the shard's leader.
+# How long the entry tries to report an outcome to the shard's leader.
 _FINISH_TIMEOUT_S = 30.0
 _RETRY_AFTER_MS = 1_000
-_REPORTS = 3
-_REPORT_RETRY_S = 1.0
+_REPORT_COPIES = 3
+_REPORT_INTERVAL_S = 1.0
 _MS_PER_S = 1000
-# At the deadline the leader's own answer is given this time to come first.
+# Beyond the deadline, wait this long for the leader's answer before the entry
+# answers the caller itself.
 _DEADLINE_GRACE_S = 0.25
 
 
@@ -44,10 +45,10 @@
     """A caller's validated request.
 
     Attributes:
-        begin: what the shard's leader gets; `ask` is set at each sending.
+        begin: the message for the shard's leader; `ask` is set for each send.
         messages: canonical messages of a model call.
-        resendable: whether the caller chose the request id, so that another
-            entry may have got the same request.
+        is_resendable: whether the caller chose the request id. If so, another
+            entry may have received the same request.
     """
 
     begin: messages.Begin
@@ -56,57 +57,58 @@
     headers: list[tuple[str, str]]
     body: bytes
     messages: list[bytes]
-    resendable: bool = False
+    is_resendable: bool = False
 
 
-Final = messages.Finished | messages.Refused
+FinalReply = messages.Finished | messages.Refused
 
 
 class RunningCall:
-    """A call under way, and what its caller can already have.
+    """A call in progress, with the stream of its answer.
 
     Attributes:
-        events: data of a model's stream, then None when `final` is set.
-        verdict: what is known so far of whether the request ran.
+        events: data of a model's stream; None follows once `final` is set.
+        final: the final answer, once there is one.
+        verdict: whether the request ran, as far as is known.
     """
 
     def __init__(self, now_s: Callable[[], float]) -> None:
         self.events: asyncio.Queue[bytes | None] = asyncio.Queue()
         self._now_s = now_s
         self._began_s = now_s()
-        self._streams = False
-        self.final: Final | None = None
+        self._has_streamed = False
+        self.final: FinalReply | None = None
         self.verdict = Verdict.NOT_RUN
-        self._splice = splice.StreamSplicer()
+        self._splicer = splice.StreamSplicer()
         self._diverged = False
 
     def start_attempt(self) -> None:
-        """Notes that another attempt answers from the start."""
-        self._splice.restart()
+        """Prepares for another attempt, which repeats the answer."""
+        self._splicer.restart()
 
     def feed(self, data: bytes) -> None:
-        """Passes on what is new of an event of the answer's stream."""
+        """Queues the part of a stream event that the caller lacks."""
         if self.final is not None or self._diverged:
             return
         try:
-            fresh = self._splice.feed(data)
+            unsent = self._splicer.feed(data)
         except DivergedError:
             self._diverged = True
             return
-        if fresh is None:
+        if unsent is None:
             return
-        if not self._streams:
-            self._streams = True
+        if not self._has_streamed:
+            self._has_streamed = True
             metrics.FIRST_TOKEN.observe(self._now_s() - self._began_s)
-        self.events.put_nowait(fresh)
+        self.events.put_nowait(unsent)
 
-    def end(self, final: Final) -> None:
+    def end(self, final: FinalReply) -> None:
         """Sets the final answer; the first one counts."""
         if self.final is not None:
             return
         if self._diverged and isinstance(final, messages.Finished):
-            # What the caller has does not begin this answer. The whole of it
-            # is stored; it comes with the same request sent again.
+            # The answer differs from the part that was already streamed. It is
+            # stored, and a resent request gets all of it.
             text = (
                 "the server was lost and the answer, generated anew, differs"
                 " from the part already sent; send the request again with its"
@@ -116,30 +118,32 @@
         self.final = final
         self.events.put_nowait(None)
 
-    async def ready(self) -> list[bytes] | None:
-        """Waits for events and returns all there are; None after the last."""
+    async def next_events(self) -> list[bytes] | None:
+        """Waits for events and returns all queued ones; None at the end."""
         first = await self.events.get()
         if first is None:
             return None
-        found = [first]
+        queued_events = [first]
         while not self.events.empty():
             data = self.events.get_nowait()
             if data is None:
                 self.events.put_nowait(None)
                 break
-            found.append(data)
-        return found
+            queued_events.append(data)
+        return queued_events
 
-    async def wait(self) -> Final:
-        """Returns the final answer, dropping the stream."""
-        while await self.ready() is not None:
+    async def wait_final(self) -> FinalReply:
+        """Drops the stream's events and returns the final answer."""
+        while await self.next_events() is not None:
             pass
         assert self.final is not None
         return self.final
 
 
 class Calls:
-    """Runs callers' calls; one that lost its caller still runs to its end.
+    """Runs callers' calls.
+
+    A call continues to its end even if its caller disconnects.
 
     Attributes:
         running: calls without a final answer, by their task.
@@ -154,27 +158,30 @@
     ) -> None:
         self._replicas = replicas
         self._dispatcher = dispatcher
-        self._relay = relay
+        self._relay_client = relay
         self._shard_count = shard_count
-        self._recovering: set[asyncio.Task[None]] = set()
+        self._recovery_tasks: set[asyncio.Task[None]] = set()
         self.running: dict[asyncio.Task[None], CallRequest] = {}
 
-    def waits_for(self) -> list[str]:
-        """Returns the programs and request ids of calls under way."""
+    def describe_running(self) -> list[str]:
+        """Returns the programs and request ids of the running calls."""
         keys = [req.begin.key for req in self.running.values()]
         return [f"{key.program} {key.request_id}" for key in keys]
 
     def start(self, req: CallRequest) -> RunningCall:
-        """Starts a call in a task of its own."""
+        """Starts a call in a new task."""
         call = RunningCall(asyncio.get_running_loop().time)
         task = asyncio.create_task(self._run(req, call))
         self.running[task] = req
         metrics.IN_FLIGHT.set(len(self.running))
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._forget_task)
         return call
 
-    def recalled(self, recall: messages.Recall) -> None:
-        """Answers a leader that takes a grant back."""
+    def handle_recall(self, recall: messages.Recall) -> None:
+        """Revokes a grant for the leader and reports what became of it.
+
+        Reports nothing if the attempt is in progress here.
+        """
         state = self._dispatcher.grants.recall(recall.attempt)
         if state is grants.GrantState.IN_USE:
             return
@@ -190,17 +197,17 @@
         self._replicas.broadcast(finish)
 
     def recover(self, order: messages.Recover) -> None:
-        """Finds out what became of an attempt whose own entry is gone."""
+        """Recovers the outcome of an attempt whose entry is gone."""
         if self._dispatcher.grants.mark_used(order.attempt):
             task = asyncio.create_task(self._recover(order))
-            self._recovering.add(task)
-            task.add_done_callback(self._recovering.discard)
+            self._recovery_tasks.add(task)
+            task.add_done_callback(self._recovery_tasks.discard)
 
     async def _recover(self, order: messages.Recover) -> None:
         grant = messages.Granted(
             ask=0, key=order.key, attempt=order.attempt, server=order.server
         )
-        req = outgoing.Outgoing(
+        req = outgoing.BackendRequest(
             kind="service",
             method="GET",
             path="",
@@ -209,30 +216,30 @@
             deadline_ms=order.deadline_ms,
             traceparent="",
         )
-        finish = await self._dispatcher.recover(grant, req, 0, _drop)
-        await self.report(finish)
+        finish = await self._dispatcher.recover(grant, req, 0, _ignore_event)
+        await self.report_outcome(finish)
         self._dispatcher.grants.mark_over(order.attempt)
 
-    async def report(self, finish: messages.Finish) -> None:
-        """Takes to the leader an outcome that no caller waits for here.
+    async def report_outcome(self, finish: messages.Finish) -> None:
+        """Reports an outcome that no caller waits for here to the leader.
 
-        Nothing confirms it, so it is sent a few times; a leader that has it
-        already drops it.
+        The message is not acknowledged, so it is sent `_REPORT_COPIES` times;
+        the leader drops duplicates.
         """
-        for _ in range(_REPORTS):
+        for _ in range(_REPORT_COPIES):
             self._replicas.broadcast(finish)
-            await asyncio.sleep(_REPORT_RETRY_S)
+            await asyncio.sleep(_REPORT_INTERVAL_S)
 
-    def _done(self, task: asyncio.Task[None]) -> None:
+    def _forget_task(self, task: asyncio.Task[None]) -> None:
         self.running.pop(task, None)
         metrics.IN_FLIGHT.set(len(self.running))
 
     async def _run(self, req: CallRequest, call: RunningCall) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        # Whatever this process still waits for, at the deadline the caller
-        # gets its answer.
-        timer = loop.call_later(
+        # The caller gets an answer at the deadline, whatever the call still
+        # waits for.
+        deadline_timer = loop.call_later(
             req.begin.deadline_ms / _MS_PER_S + _DEADLINE_GRACE_S,
             lambda: call.end(
                 _refusal(Reason.DEADLINE, "the deadline passed", call.verdict)
@@ -242,25 +249,25 @@
             hop.note("program", req.begin.key.program)
             hop.note("request_id", req.begin.key.request_id)
             try:
-                final = await self._to_the_end(req, call, hop.traceparent)
+                final = await self._run_attempts(req, call, hop.traceparent)
             except Exception:
-                fields = _log_fields(req, hop.trace_id)
-                log.exception("call failed", extra=fields)
+                log_fields = _log_fields(req, hop.trace_id)
+                log.exception("call failed", extra=log_fields)
                 final = _refusal(
                     Reason.INTERNAL, "internal error", Verdict.MAY_HAVE_RUN
                 )
             call.end(final)
-            timer.cancel()
-            self._account(req, call, hop, loop.time() - began)
+            deadline_timer.cancel()
+            self._record_end(req, call, hop, loop.time() - began)
 
-    def _account(
+    def _record_end(
         self,
         req: CallRequest,
         call: RunningCall,
         hop: tracing.Hop,
         seconds: float,
     ) -> None:
-        """Counts a call that has ended, and logs one that was refused."""
+        """Updates the metrics for an ended call, and logs a refusal."""
         final = call.final
         verdict = Verdict.RAN
         if isinstance(final, messages.Refused):
@@ -279,9 +286,9 @@
         metrics.CALLS.labels(req.begin.kind, verdict).inc()
         metrics.CALL_SECONDS.observe(seconds)
 
-    async def _to_the_end(
+    async def _run_attempts(
         self, req: CallRequest, call: RunningCall, traceparent: str
-    ) -> Final:
+    ) -> FinalReply:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + req.begin.deadline_ms / _MS_PER_S
         group = sharding.group_of(req.begin.key.program_key, self._shard_count)
@@ -290,11 +297,12 @@
                 reply = await self._begin(group, req, deadline)
             while isinstance(reply, messages.Granted):
                 if self._dispatcher.grants.knows(reply.attempt):
-                    # A copy of a grant under way: attach to its outcome.
+                    # A duplicate of a grant that is in use: ask again, to get
+                    # the outcome of its attempt.
                     metrics.DROPPED_ANSWERS.inc()
                     reply = await self._begin(group, req, deadline)
                     continue
-                before = call.verdict
+                earlier_verdict = call.verdict
                 call.verdict = Verdict.MAY_HAVE_RUN
                 left_ms = int((deadline - loop.time()) * _MS_PER_S)
                 try:
@@ -302,12 +310,14 @@
                         reply, req, call, left_ms, traceparent
                     )
                 except Exception:
-                    # Unreported, the attempt would hold its server's place
-                    # and the program's next call until the deadline.
+                    # Without a report, the attempt would block its slot and
+                    # the program's next call until the deadline.
                     log.exception("attempt failed", extra=_log_fields(req, ""))
                     text = "internal error"
-                    finish = outcomes.failed(reply, Reason.INTERNAL, text)
-                call.verdict = max(before, finish.verdict, key=_certainty)
+                    finish = outcomes.may_have_run(reply, Reason.INTERNAL, text)
+                call.verdict = max(
+                    earlier_verdict, finish.verdict, key=_certainty
+                )
                 try:
                     with tracing.hop("finish", traceparent):
                         reply = await self._finish(group, finish)
@@ -315,12 +325,12 @@
                     self._dispatcher.grants.mark_over(finish.attempt)
         except PeerLostError as exc:
             text = "the shard's leader did not answer in time"
-            if exc.sent and req.resendable:
-                # The leader may have granted this request to another entry
-                # that got it too.
+            if exc.sent and req.is_resendable:
+                # Another entry may have received the same request, and the
+                # leader may have granted it there.
                 call.verdict = Verdict.MAY_HAVE_RUN
             return _refusal(Reason.NO_LEADER, text, call.verdict)
-        final: Final = reply
+        final: FinalReply = reply
         return final
 
     async def _begin(
@@ -328,19 +338,21 @@
     ) -> Any:
         loop = asyncio.get_running_loop()
 
-        def make(ask: int) -> messages.Begin:
+        def make_message(ask: int) -> messages.Begin:
             left_ms = max(1, int((deadline - loop.time()) * _MS_PER_S))
             return msgspec.structs.replace(
                 req.begin, ask=ask, deadline_ms=left_ms
             )
 
-        return await self._replicas.ask(group, make, deadline - loop.time())
+        return await self._replicas.ask(
+            group, make_message, deadline - loop.time()
+        )
 
     async def _finish(self, group: str, finish: messages.Finish) -> Any:
-        def make(ask: int) -> messages.Finish:
+        def make_message(ask: int) -> messages.Finish:
             return msgspec.structs.replace(finish, ask=ask)
 
-        return await self._replicas.ask(group, make, _FINISH_TIMEOUT_S)
+        return await self._replicas.ask(group, make_message, _FINISH_TIMEOUT_S)
 
     async def _attempt(
         self,
@@ -353,14 +365,14 @@
         call.start_attempt()
         body = req.body
         digests = req.begin.digests
-        known = grant.skip
+        known_count = grant.skip
         if grant.history:
             body = chat.with_messages(
                 body, [*grant.history, *chat.raw_messages(body)]
             )
             digests = [*map(digest.of_bytes, grant.history), *digests]
-            known = len(grant.history)
-        request = outgoing.Outgoing(
+            known_count = len(grant.history)
+        request = outgoing.BackendRequest(
             kind=req.begin.kind,
             method=req.method,
             path=req.path,
@@ -369,7 +381,7 @@
             deadline_ms=max(1, left_ms),
             traceparent=traceparent,
         )
-        history = relays.History(digests, known)
+        history = relays.PromptDigests(digests, known_count)
         finish = await self._dispatch(grant, request, history, call.feed)
         metrics.ATTEMPTS.labels(finish.verdict).inc()
         if not finish.messages:
@@ -382,15 +394,17 @@
     async def _dispatch(
         self,
         grant: messages.Granted,
-        req: outgoing.Outgoing,
-        history: relays.History,
+        req: outgoing.BackendRequest,
+        history: relays.PromptDigests,
         on_data: Callable[[bytes], None],
     ) -> messages.Finish:
-        refused = self._dispatcher.use(grant)
+        refused = self._dispatcher.use_grant(grant)
         if refused is not None:
             return refused
         if grant.dispatcher:
-            return await self._relay.dispatch(grant, req, history, on_data)
+            return await self._relay_client.dispatch(
+                grant, req, history, on_data
+            )
         return await self._dispatcher.dispatch(grant, req, on_data)
 
 
@@ -404,12 +418,12 @@
     )
 
 
-def _drop(data: bytes) -> None:
-    """Takes an event that nobody wants."""
+def _ignore_event(data: bytes) -> None:
+    """Ignores an event of an attempt whose caller is not connected here."""
 
 
 def _certainty(verdict: Verdict) -> int:
-    """Orders verdicts by how much a request may have done."""
+    """Returns the rank of a verdict, from not run to ran."""
     return (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN).index(verdict)
 
 
--- a/catkinpin/adapters/entry/configured.py
+++ b/catkinpin/adapters/entry/configured.py
@@ -1,4 +1,4 @@
-"""The configuration that a process serves under, and its lease to do so."""
+"""The configuration that a process serves with, and the lease to serve."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 RENEW_EVERY_S = 1.0
 _ASK_TIMEOUT_S = 1.0
-_SOON_S = 0.05
+_RETRY_DELAY_S = 0.05
 
 
 class ActiveConfiguration:
-    """The newest configuration this process has been sent.
+    """The newest configuration that this process has received.
 
     Attributes:
-        configuration: None until the first one has come.
-        accounts: account by the digest of its key.
+        configuration: None until the first one was received.
+        accounts: account names by the digest of their key.
     """
 
     def __init__(self) -> None:
@@ -40,10 +40,10 @@
         self.accounts: dict[str, str] = {}
 
     def apply_update(self, update: changes.ConfigUpdate) -> bool:
-        """Serves under `update`; returns False where it does not fit.
+        """Applies an update; returns False if it does not follow the revision.
 
-        An update that is late may carry an older revision than one before;
-        going back would let a withdrawn key or budget work again.
+        A late update may have an older revision than the current one. Applying
+        it would make a withdrawn key or budget valid again.
         """
         if update.revision <= self.revision or update.base > self.revision:
             return False
@@ -55,25 +55,28 @@
             )
         self.configuration = cfg
         self.revision = update.revision
-        self.accounts = {a.key_sha256: a.name for a in cfg.accounts.values()}
+        self.accounts = {
+            account.key_sha256: account.name
+            for account in cfg.accounts.values()
+        }
         metrics.REVISION.set(update.revision)
         return True
 
 
 class LeaseHolder:
-    """Keeps the lease under which this process may serve.
+    """Renews the lease that allows this process to serve.
 
-    A process that is frozen or cut off misses changes: a key withdrawn in the
-    meantime would still open the door, and nobody would notice. So it serves
-    only for a short time after the control leader has last told it that its
-    revision is the newest, counted on its own monotonic clock from when it
-    *sent* its question.
+    A process that is frozen or partitioned misses changes and would still
+    accept a key that was withdrawn in the meantime. So it serves only for a
+    short time after the control leader confirmed that its revision is the
+    newest. This time starts when the process sent its request, on its own
+    monotonic clock.
 
     Args:
-        replicas: streams to the replicas.
+        replicas: connections to the replicas.
         clock: source of time.
-        revision: returns the revision that this process serves under.
-        apply_update: called with updates; None where they come another way.
+        revision: returns the revision that this process serves with.
+        apply_update: called with updates; None if they arrive another way.
     """
 
     def __init__(
@@ -87,39 +90,39 @@
         self._clock = clock
         self._revision = revision
         self._apply_update = apply_update
-        self._lapses_ms = 0
-        self._wake = asyncio.Event()
+        self._expires_ms = 0
+        self._renewal_requested = asyncio.Event()
 
     def problem(self) -> str:
         """Returns why this process may not serve now, or an empty string."""
         if self._revision() == 0:
             return "no confirmed configuration"
-        if self._clock.now_ms() >= self._lapses_ms:
+        if self._clock.now_ms() >= self._expires_ms:
             return "the configuration is not confirmed: its lease lapsed"
         return ""
 
     def renew_now(self) -> None:
-        """Confirms a new revision at once."""
-        self._wake.set()
+        """Renews the lease at once, because the revision has changed."""
+        self._renewal_requested.set()
 
     async def run(self) -> None:
-        """Renews the lease for ever."""
+        """Renews the lease until cancelled."""
         while True:
-            pause_s = _SOON_S
-            self._wake.clear()
+            pause_s = _RETRY_DELAY_S
+            self._renewal_requested.clear()
             try:
                 pause_s = await self._renew()
             except PeerLostError as exc:
                 log.debug("lease not renewed: %s", exc)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
-                    await self._wake.wait()
+                    await self._renewal_requested.wait()
 
     async def _renew(self) -> float:
         revision = self._revision()
         sent_ms = 0
 
-        def make(ask: int) -> changes.RenewLease:
+        def make_message(ask: int) -> changes.RenewLease:
             nonlocal sent_ms
             sent_ms = self._clock.now_ms()
             return changes.RenewLease(
@@ -129,13 +132,13 @@
             )
 
         lease = await self._replicas.ask(
-            sharding.CONTROL_GROUP, make, _ASK_TIMEOUT_S
+            sharding.CONTROL_GROUP, make_message, _ASK_TIMEOUT_S
         )
         if lease.update is not None and self._apply_update is not None:
             self._apply_update(lease.update)
             return 0.0
         if lease.lease_ms and lease.revision >= revision:
-            lapses_ms = sent_ms + lease.lease_ms
-            self._lapses_ms = max(self._lapses_ms, lapses_ms)
+            expires_ms = sent_ms + lease.lease_ms
+            self._expires_ms = max(self._expires_ms, expires_ms)
             return RENEW_EVERY_S
-        return _SOON_S
+        return _RETRY_DELAY_S
--- a/catkinpin/adapters/entry/context.py
+++ b/catkinpin/adapters/entry/context.py
@@ -1,4 +1,4 @@
-"""The entry process as its HTTP interfaces see it."""
+"""The part of an entry process that its HTTP interfaces use."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 
 
 class EntryContext(Protocol):
-    """What the HTTP interfaces need of an entry.
+    """The interface of an entry to its HTTP interfaces.
 
     Attributes:
         cfg: its settings.
-        configured: the configuration that it serves under.
+        active_config: the configuration that it serves with.
         stopping: whether new calls are refused.
-        calls: calls under way.
-        replicas: streams to the replicas.
-        lease: its lease to serve under the configuration.
+        calls: the calls in progress.
+        replicas: connections to the replicas.
+        lease: its lease to serve with the configuration.
     """
 
     cfg: EntrySettings
-    configured: ActiveConfiguration
+    active_config: ActiveConfiguration
     stopping: bool
     calls: Calls
     replicas: Replicas
     lease: LeaseHolder
 
-    def not_ready(self) -> str:
-        """Returns why no calls should come here, or an empty string."""
+    def unready_reason(self) -> str:
+        """Returns why this host should get no calls, or an empty string."""
 
-    def announced(self, report: messages.ServerReport) -> None:
-        """Handles a server's announcement."""
+    def handle_announcement(self, report: messages.ServerReport) -> None:
+        """Stores a server's announcement for the next batch to the replicas."""
 
-    def cache_changed(self, events: messages.CacheEvents) -> None:
-        """Passes an engine's cache events on to the replicas."""
+    def forward_cache_events(self, events: messages.CacheEvents) -> None:
+        """Sends an engine's cache events to the replicas."""
--- a/catkinpin/adapters/entry/intents.py
+++ b/catkinpin/adapters/entry/intents.py
@@ -1,4 +1,4 @@
-"""Operators' intents as they arrive: validated at the border."""
+"""Parses and validates operators' intents."""
 
 from __future__ import annotations
 
@@ -54,13 +54,13 @@
     version: Name
 
 
-_adapter: pydantic.TypeAdapter[_Move | _Drain | _Budget | _Scale | _Version] = (
-    pydantic.TypeAdapter(
-        Annotated[
-            _Move | _Drain | _Budget | _Scale | _Version,
-            pydantic.Field(discriminator="kind"),
-        ]
-    )
+_intent_adapter: pydantic.TypeAdapter[
+    _Move | _Drain | _Budget | _Scale | _Version
+] = pydantic.TypeAdapter(
+    Annotated[
+        _Move | _Drain | _Budget | _Scale | _Version,
+        pydantic.Field(discriminator="kind"),
+    ]
 )
 
 
@@ -68,10 +68,10 @@
     """Returns the intent in a JSON body.
 
     Raises:
-        BadRequestError: naming every field at fault.
+        BadRequestError: the body is invalid; names every invalid field.
     """
     try:
-        model = _adapter.validate_json(body)
+        model = _intent_adapter.validate_json(body)
     except pydantic.ValidationError as exc:
         raise BadRequestError("intent", configuration.describe(exc)) from exc
     fields = model.model_dump(exclude={"kind"})
--- a/catkinpin/adapters/entry/modelcalls.py
+++ b/catkinpin/adapters/entry/modelcalls.py
@@ -1,4 +1,4 @@
-"""One attempt at a model engine: a stream that is resumed where it breaks."""
+"""Runs an attempt at a model engine and resumes its stream if it breaks."""
 
 from __future__ import annotations
 
@@ -18,104 +18,120 @@
 
     import aiohttp
 
-    from catkinpin.adapters.entry.outgoing import Outgoing
+    from catkinpin.adapters.entry.outgoing import BackendRequest
     from catkinpin.core.messages import Finish, Granted
     from catkinpin.core.requests.pauses import GapEstimator
 
 _SSE_END = b"[DONE]"
-_DATA = b"data:"
-# A server that takes new connections but sends nothing more on so many of
-# them hangs; the call goes elsewhere.
-_MAX_BARREN = 3
+_SSE_DATA_PREFIX = b"data:"
+# The attempt fails after this many new connections in a row on which the server
+# sends no further token, because the server is probably hung.
+_MAX_EMPTY_RESUMES = 3
 _MS_PER_S = 1000
-# Answers of an engine that no other server would answer differently.
-_FINAL_STATUS = frozenset({400, 404, 413, 422})
+# Error statuses that any other engine would return as well.
+_FINAL_STATUSES = frozenset({400, 404, 413, 422})
 
 
 class ModelCall:
     """An attempt at a model engine.
 
     Args:
-        offset: events of the answer that the caller's entry already has.
-        first_s: longest wait for the first event.
+        sessions: HTTP sessions for backend servers.
+        grant: permission to dispatch, with the server.
+        req: the request.
+        headers: header fields to send.
+        gap_estimator: estimates the gaps between a server's tokens.
+        first_event_timeout_s: longest wait for the first event.
+        on_data: called with each event of the stream, in order.
     """
 
     def __init__(
         self,
-        servers: backends.Backends,
+        sessions: backends.BackendSessions,
         grant: Granted,
-        req: Outgoing,
+        req: BackendRequest,
         headers: dict[str, str],
-        gaps: GapEstimator,
-        first_s: float,
+        gap_estimator: GapEstimator,
+        first_event_timeout_s: float,
         on_data: Callable[[bytes], None],
     ) -> None:
-        self._servers = servers
+        self._sessions = sessions
         self._grant = grant
         self._req = req
         self._headers = headers
-        self._gaps = gaps
-        self._first_s = first_s
+        self._gap_estimator = gap_estimator
+        self._first_event_timeout_s = first_event_timeout_s
         self._on_data = on_data
         self._assembler = chat.Assembler()
         self._offset = 0
-        self._skip = 0
-        self._passed = 0
-        self._tail = 0
-        self._tail_skip = 0
-        self._last = 0.0
+        self._skipped_events = 0
+        self._event_count = 0
+        self._trailing_count = 0
+        self._trailing_to_skip = 0
+        self._last_token_s = 0.0
         self._resumed = False
 
     async def run(self) -> Finish:
         """Sends the request and returns the outcome."""
         try:
-            return await self._read(self._send(), first=True)
-        except backends.UNCONNECTED as exc:
+            return await self._read_stream(self._send_request(), is_first=True)
+        except backends.CONNECT_ERRORS as exc:
             text = f"{self._grant.server.server}: {type(exc).__name__}"
             return outcomes.not_run(self._grant, Reason.SERVER_FAILED, text)
         except BrokenStreamError as exc:
             return await self._resume(exc)
 
     async def recover(self, offset: int) -> Finish:
-        """Goes on with an attempt that another process has sent.
+        """Continues an attempt that another process has sent.
 
-        The answer is read from its start, for it must be put together whole;
-        the `offset` events that the caller has are not passed on again.
+        Reads the answer from its start, because the outcome contains all of
+        it. Does not pass on the first `offset` events, which the caller has.
         """
-        self._skip = offset
+        self._skipped_events = offset
         return await self._resume(
             BrokenStreamError("the entry that sent it was lost")
         )
 
     async def _resume(self, broken: BrokenStreamError) -> Finish:
-        barren = 0
+        empty_resumes = 0
         began = _now()
         while True:
-            before = self._offset
+            offset_before = self._offset
             if broken.silent:
                 metrics.RETIRED_CONNECTIONS.labels("model").inc()
             try:
-                return await self._read(self._reopen(), first=False)
-            except backends.UNCONNECTED:
-                return self._lost(str(broken), crashed=True)
+                return await self._read_stream(
+                    self._request_resume(), is_first=False
+                )
+            except backends.CONNECT_ERRORS:
+                return self._server_failed(str(broken), crashed=True)
             except BrokenStreamError as exc:
                 broken = exc
             if broken.gone:
-                return self._lost(str(broken), crashed=True)
-            barren = 0 if self._offset > before else barren + 1
-            waits = self._offset == 0 and _now() - began < self._first_s
-            if barren >= _MAX_BARREN and not (waits and broken.silent):
-                return self._lost(str(broken), crashed=False)
-
-    def _lost(self, text: str, *, crashed: bool) -> Finish:
-        return outcomes.failed(
+                return self._server_failed(str(broken), crashed=True)
+            empty_resumes = (
+                0 if self._offset > offset_before else empty_resumes + 1
+            )
+            may_still_start = (
+                self._offset == 0
+                and _now() - began < self._first_event_timeout_s
+            )
+            if empty_resumes >= _MAX_EMPTY_RESUMES and not (
+                may_still_start and broken.silent
+            ):
+                return self._server_failed(str(broken), crashed=False)
+
+    def _server_failed(self, text: str, *, crashed: bool) -> Finish:
+        return outcomes.may_have_run(
             self._grant,
             Reason.SERVER_FAILED,
             f"{self._grant.server.server}: {text}",
             crashed=crashed,
         )
 
-    def _send(self) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
+    def _send_request(
+        self,
+    ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
         body = chat.with_fields(
             self._req.body,
             stream=True,
@@ -123,106 +139,111 @@
             max_tokens=self._grant.max_tokens,
             max_completion_tokens=None,
         )
-        return self._servers.pooled.post(
+        return self._sessions.pooled.post(
             self._grant.server.address + "/v1/chat/completions",
             data=body,
             headers={**self._headers, "Content-Type": "application/json"},
         )
 
-    def _reopen(self) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
-        self._tail_skip = self._tail
+    def _request_resume(
+        self,
+    ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
+        self._trailing_to_skip = self._trailing_count
         self._resumed = True
-        return self._servers.fresh.get(
+        return self._sessions.unpooled.get(
             backends.attempt_url(self._grant),
             params={"offset": str(self._offset)},
             headers=self._headers,
         )
 
-    async def _read(
+    async def _read_stream(
         self,
-        opening: AbstractAsyncContextManager[aiohttp.ClientResponse],
+        exchange: AbstractAsyncContextManager[aiohttp.ClientResponse],
         *,
-        first: bool,
+        is_first: bool,
     ) -> Finish:
-        """Reads a stream to its end.
+        """Reads a stream to its end and returns the outcome.
 
         Raises:
             BrokenStreamError: the stream ended early.
         """
         try:
-            async with asyncio.timeout(self._retry_delay_s()) as timer:
-                async with opening as resp:
-                    refused = await self._refused(resp, first=first)
+            async with asyncio.timeout(self._silence_timeout_s()) as timer:
+                async with exchange as resp:
+                    refused = await self._read_refusal(resp, is_first=is_first)
                     if refused is not None:
                         return refused
                     async for data in _events(resp):
                         if data == _SSE_END:
-                            return outcomes.answered(
+                            return outcomes.ran_stream(
                                 self._grant, self._assembler
                             )
-                        self._feed(data)
-                        timer.reschedule(_now() + self._retry_delay_s())
+                        self._handle_event(data)
+                        timer.reschedule(_now() + self._silence_timeout_s())
                 raise BrokenStreamError("the stream ended early")
         except TimeoutError as exc:
             raise BrokenStreamError(
                 "the stream went silent", silent=True
             ) from exc
-        except backends.UNCONNECTED:
+        except backends.CONNECT_ERRORS:
             raise
-        except (*backends.BROKEN, ValueError) as exc:
+        except (*backends.CONNECTION_ERRORS, ValueError) as exc:
             raise BrokenStreamError(
                 f"the stream broke ({type(exc).__name__})"
             ) from exc
 
-    def _retry_delay_s(self) -> float:
-        return self._gaps.timeout_ms(self._grant.server.server) / _MS_PER_S
+    def _silence_timeout_s(self) -> float:
+        return (
+            self._gap_estimator.timeout_ms(self._grant.server.server)
+            / _MS_PER_S
+        )
 
-    async def _refused(
-        self, resp: aiohttp.ClientResponse, *, first: bool
+    async def _read_refusal(
+        self, resp: aiohttp.ClientResponse, *, is_first: bool
     ) -> Finish | None:
-        """Returns the outcome where the server sends no stream."""
-        if backends.crossed(self._grant, resp):
+        """Returns the outcome if the server sends no stream, else None."""
+        if backends.answers_other_attempt(self._grant, resp):
             raise BrokenStreamError("an answer to another attempt came")
-        if backends.says_not_run(self._grant, resp):
+        if backends.confirms_not_run(self._grant, resp):
             text = backends.error_text(await resp.read())
             return outcomes.not_run(self._grant, Reason.SERVER_REFUSED, text)
-        if backends.other_incarnation(self._grant, resp) and not first:
+        if backends.is_other_incarnation(self._grant, resp) and not is_first:
             raise BrokenStreamError("the server was restarted", gone=True)
         if resp.status == outcomes.STATUS_OK:
             return None
-        if first and resp.status in _FINAL_STATUS:
+        if is_first and resp.status in _FINAL_STATUSES:
             answer = await backends.read_answer(resp)
-            return outcomes.whole(self._grant, answer)
+            return outcomes.ran(self._grant, answer)
         text = backends.error_text(await resp.read())
-        return outcomes.failed(
+        return outcomes.may_have_run(
             self._grant,
             Reason.SERVER_REFUSED,
             f"the server answered {resp.status}: {text}",
         )
 
-    def _feed(self, data: bytes) -> None:
+    def _handle_event(self, data: bytes) -> None:
         chunk = msgspec.json.decode(data)
         if _has_text(chunk):
             self._offset += 1
-            self._measure()
-        elif self._tail_skip:
-            # A resumed stream repeats what follows the last token.
-            self._tail_skip -= 1
+            self._record_gap()
+        elif self._trailing_to_skip:
+            # A resumed stream repeats the events that follow the last token.
+            self._trailing_to_skip -= 1
             return
         else:
-            self._tail += 1
+            self._trailing_count += 1
         self._assembler.add(chunk)
-        self._passed += 1
-        if self._passed > self._skip:
+        self._event_count += 1
+        if self._event_count > self._skipped_events:
             self._on_data(data)
 
-    def _measure(self) -> None:
-        """Learns the server's gap between tokens from an unbroken stream."""
+    def _record_gap(self) -> None:
+        """Records the gap between tokens of a stream that was not resumed."""
         now = _now()
-        if self._last and not self._resumed:
-            gap_ms = (now - self._last) * _MS_PER_S
-            self._gaps.record_gap(self._grant.server.server, gap_ms)
-        self._last = now
+        if self._last_token_s and not self._resumed:
+            gap_ms = (now - self._last_token_s) * _MS_PER_S
+            self._gap_estimator.record_gap(self._grant.server.server, gap_ms)
+        self._last_token_s = now
 
 
 def _now() -> float:
@@ -230,7 +251,7 @@
 
 
 def _has_text(chunk: dict[str, Any]) -> bool:
-    """Returns whether an event counts in a stream's offset."""
+    """Returns whether an event counts towards the stream's offset."""
     choices = chunk.get("choices") or []
     return any(not choice.get("finish_reason") for choice in choices)
 
@@ -238,5 +259,5 @@
 async def _events(resp: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
     """Yields the data of each server-sent event."""
     async for line in resp.content:
-        if line.startswith(_DATA):
-            yield line[len(_DATA) :].strip()
+        if line.startswith(_SSE_DATA_PREFIX):
+            yield line[len(_SSE_DATA_PREFIX) :].strip()
--- a/catkinpin/adapters/entry/operators.py
+++ b/catkinpin/adapters/entry/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface, on the inner address of every entry."""
+"""The HTTP interface for operators, on every entry's admin address."""
 
 from __future__ import annotations
 
@@ -26,49 +26,49 @@
     from catkinpin.adapters.entry.context import EntryContext
 
 _ANSWER_TIMEOUT_S = 8.0
-_CATCH_UP_S = 2.0
-_POLL_S = 0.02
+_CATCH_UP_TIMEOUT_S = 2.0
+_POLL_INTERVAL_S = 0.02
 _OK = 200
-_BAD = 400
+_BAD_REQUEST = 400
 _NOT_FOUND = 404
 _CONFLICT = 409
-_UNKNOWN = 503
-_CALL = re.compile(r"([^/]+)/(.+)/([^/]+)")
-_ID = re.compile(r"[0-9A-Za-z._:-]{1,100}")
-_FINGERPRINT = re.compile(r"([0-9a-f]{2}){1,64}")
+_UNAVAILABLE = 503
+_CALL_PATTERN = re.compile(r"([^/]+)/(.+)/([^/]+)")
+_ID_PATTERN = re.compile(r"[0-9A-Za-z._:-]{1,100}")
+_FINGERPRINT_PATTERN = re.compile(r"([0-9a-f]{2}){1,64}")
 
 
 def add_routes(app: sanic.Sanic[Any, Any], entry: EntryContext) -> None:
-    """Adds what operators call; all need the operators' key."""
+    """Adds the routes for operators; all require the operators' key."""
 
     @app.get("/v1/operator/configuration")
     async def show(req: sanic.Request) -> Any:
         _check_operator(entry, req)
-        return response.json(_shown(entry))
+        return response.json(_configuration_body(entry))
 
     @app.post("/v1/operator/configuration")
     async def apply(req: sanic.Request) -> Any:
         _check_operator(entry, req)
-        return await _apply(entry, req)
+        return await _apply_configuration(entry, req)
 
     @app.get("/v1/operator/in-force")
     async def in_force(req: sanic.Request) -> Any:
         _check_operator(entry, req)
-        revision = _number("revision", req.args.get("revision", ""))
-        return await _ask(
+        revision = _parse_number("revision", req.args.get("revision", ""))
+        return await _ask_leader(
             entry, lambda ask: changes.GetInForce(ask=ask, revision=revision)
         )
 
     @app.get("/v1/operator/status")
     async def status(req: sanic.Request) -> Any:
         _check_operator(entry, req)
-        return await _ask(entry, lambda ask: changes.GetStatus(ask=ask))
+        return await _ask_leader(entry, lambda ask: changes.GetStatus(ask=ask))
 
     @app.get("/v1/operator/explain")
     async def explain(req: sanic.Request) -> Any:
         _check_operator(entry, req)
         key = _call_key(req.args.get("call", ""))
-        return await _ask(
+        return await _ask_leader(
             entry,
             lambda ask: explanations.Explain(ask=ask, key=key),
             group=sharding.group_of(key.program_key, entry.cfg.shards),
@@ -77,35 +77,35 @@
     @app.post("/v1/operator/plans")
     async def plan(req: sanic.Request) -> Any:
         _check_operator(entry, req)
-        return await _plan(entry, req)
+        return await _make_plan(entry, req)
 
     @app.post("/v1/operator/plans/<plan_id>/<verb:confirm|stop|undo>")
     async def act(req: sanic.Request, plan_id: str, verb: str) -> Any:
         _check_operator(entry, req)
-        return await _act(entry, req, plan_id, verb)
+        return await _act_on_plan(entry, req, plan_id, verb)
 
     @app.post("/v1/operator/quarantine/<fingerprint>/lift")
     async def lift(req: sanic.Request, fingerprint: str) -> Any:
         _check_operator(entry, req)
-        return await _lift(entry, req, fingerprint)
+        return await _lift_quarantine(entry, req, fingerprint)
 
 
-def _shown(entry: EntryContext) -> dict[str, Any]:
-    cfg = entry.configured.configuration or configuration.Configuration()
+def _configuration_body(entry: EntryContext) -> dict[str, Any]:
+    cfg = entry.active_config.configuration or configuration.Configuration()
     items = {
         "accounts": list(cfg.accounts.values()),
         "deployments": cfg.deployments,
         "drains": cfg.drains,
     }
     return {
-        "revision": entry.configured.revision,
+        "revision": entry.active_config.revision,
         **msgspec.to_builtins(items),
     }
 
 
-async def _apply(entry: EntryContext, req: sanic.Request) -> Any:
+async def _apply_configuration(entry: EntryContext, req: sanic.Request) -> Any:
     wanted = configuration.parse(req.body)
-    base = _number(
+    base = _parse_number(
         "Catkinpin-Base-Revision",
         req.headers.get("catkinpin-base-revision", ""),
     )
@@ -114,7 +114,7 @@
     upserts, removes = await _difference(entry, base, wanted)
     digest = hashlib.sha256(f"{base}\0{operator}\0".encode() + req.body)
 
-    def make(ask: int) -> changes.Apply:
+    def make_message(ask: int) -> changes.Apply:
         return changes.Apply(
             ask=ask,
             request_id=request_id,
@@ -125,27 +125,30 @@
             content_digest=digest.digest(),
         )
 
-    return await _ask(entry, make, request_id)
+    return await _ask_leader(entry, make_message, request_id)
 
 
 async def _difference(
     entry: EntryContext, base: int, wanted: configuration.Configuration
 ) -> tuple[list[deployments.Item], list[deployments.ItemKey]]:
-    """Returns what leads from the base to what is wanted.
+    """Returns the changes from the base revision to the wanted configuration.
 
-    Where this process is beyond the base, the change can only lose, or be one
-    that is sent again; its content does not matter then. Drains belong to
-    plans and stay as they are.
+    If this process has a newer revision than the base, the change is either
+    rejected or a resent one, and its content does not matter. Drains belong to
+    plans and are not changed.
+
+    Raises:
+        BadRequestError: this process does not get the base revision in time.
     """
-    end = asyncio.get_running_loop().time() + _CATCH_UP_S
-    while entry.configured.revision < base:
+    end = asyncio.get_running_loop().time() + _CATCH_UP_TIMEOUT_S
+    while entry.active_config.revision < base:
         if asyncio.get_running_loop().time() > end:
             text = f"revision {base} is not known here yet"
             raise BadRequestError("Catkinpin-Base-Revision", text)
-        await asyncio.sleep(_POLL_S)
-    if entry.configured.revision > base:
+        await asyncio.sleep(_POLL_INTERVAL_S)
+    if entry.active_config.revision > base:
         return [], []
-    cfg = entry.configured.configuration or configuration.Configuration()
+    cfg = entry.active_config.configuration or configuration.Configuration()
     old = {deployments.key_of(item): item for item in cfg.items()}
     new = {deployments.key_of(item): item for item in wanted.items()}
     upserts = [item for key, item in new.items() if old.get(key) != item]
@@ -153,13 +156,13 @@
     return upserts, removes
 
 
-async def _plan(entry: EntryContext, req: sanic.Request) -> Any:
+async def _make_plan(entry: EntryContext, req: sanic.Request) -> Any:
     intent = intents.parse(req.body)
     request_id = _request_id(req)
     digest = hashlib.sha256(request_id.encode()).hexdigest()
     plan_id = f"plan-{digest[:8]}"
     operator = req.headers.get("catkinpin-operator", "")
-    return await _ask(
+    return await _ask_leader(
         entry,
         lambda ask: changes.MakePlan(
             ask=ask, plan_id=plan_id, intent=intent, operator=operator
@@ -168,28 +171,30 @@
     )
 
 
-async def _act(
+async def _act_on_plan(
     entry: EntryContext, req: sanic.Request, plan_id: str, verb: str
 ) -> Any:
-    kinds: dict[str, Any] = {
+    message_types: dict[str, Any] = {
         "confirm": changes.ConfirmPlan,
         "stop": changes.StopPlan,
         "undo": changes.UndoPlan,
     }
     operator = req.headers.get("catkinpin-operator", "")
-    return await _ask(
+    return await _ask_leader(
         entry,
-        lambda ask: kinds[verb](ask=ask, plan_id=plan_id, operator=operator),
+        lambda ask: message_types[verb](
+            ask=ask, plan_id=plan_id, operator=operator
+        ),
     )
 
 
-async def _lift(
+async def _lift_quarantine(
     entry: EntryContext, req: sanic.Request, fingerprint: str
 ) -> Any:
-    if not _FINGERPRINT.fullmatch(fingerprint):
+    if not _FINGERPRINT_PATTERN.fullmatch(fingerprint):
         raise BadRequestError("fingerprint", "a number in hex is allowed")
     operator = req.headers.get("catkinpin-operator", "")
-    return await _ask(
+    return await _ask_leader(
         entry,
         lambda ask: changes.Quarantine(
             ask=ask,
@@ -200,22 +205,24 @@
     )
 
 
-async def _ask(
+async def _ask_leader(
     entry: EntryContext,
-    make: Callable[[int], Any],
+    make_message: Callable[[int], Any],
     request_id: str = "",
     group: str = sharding.CONTROL_GROUP,
 ) -> Any:
     """Asks a group's leader and returns its answer as JSON."""
     try:
-        answer = await entry.replicas.ask(group, make, _ANSWER_TIMEOUT_S)
+        answer = await entry.replicas.ask(
+            group, make_message, _ANSWER_TIMEOUT_S
+        )
     except PeerLostError as exc:
         error = {
             "message": f"{exc}; whether it was carried out is not known",
             "outcome": "unknown",
             "request_id": request_id,
         }
-        return response.json({"error": error}, status=_UNKNOWN)
+        return response.json({"error": error}, status=_UNAVAILABLE)
     body = msgspec.to_builtins(answer)
     body.pop("ask", None)
     body.pop("type", None)
@@ -225,7 +232,7 @@
 
 
 def _call_key(text: str) -> messages.CallKey:
-    match = _CALL.fullmatch(text)
+    match = _CALL_PATTERN.fullmatch(text)
     if match is None:
         raise BadRequestError("call", "ACCOUNT/PROGRAM/REQUEST-ID is needed")
     account, program, request_id = match.groups()
@@ -241,7 +248,7 @@
         case changes.Applied(accepted=False):
             return _CONFLICT
         case changes.PlanShown(plan=None):
-            return _BAD
+            return _BAD_REQUEST
         case changes.PlanShown() if answer.problems:
             return _CONFLICT
     return _OK
@@ -249,13 +256,13 @@
 
 def _request_id(req: sanic.Request) -> str:
     request_id: str = req.headers.get("idempotency-key") or uuid.uuid4().hex
-    if not _ID.fullmatch(request_id):
+    if not _ID_PATTERN.fullmatch(request_id):
         text = "1 to 100 letters, digits and . _ : - are allowed"
         raise BadRequestError("Idempotency-Key", text)
     return request_id
 
 
-def _number(field: str, text: str) -> int:
+def _parse_number(field: str, text: str) -> int:
     if not re.fullmatch(r"[0-9]{1,18}", text):
         text = f"a whole number from 0 is allowed, got {text!r}"
         raise BadRequestError(field, text)
--- a/catkinpin/adapters/entry/orders.py
+++ b/catkinpin/adapters/entry/orders.py
@@ -1,4 +1,4 @@
-"""Carries orders from the control leader to engines."""
+"""Sends the control leader's orders to engines."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 
 log = logging.getLogger(__name__)
 
-_PATH = "/v1/orders"
+_ORDERS_PATH = "/v1/orders"
 _CLAIM_TIMEOUT_S = 2.0
 _RESULT_TIMEOUT_S = 10.0
 _MS_PER_S = 1000
-_MAX_TEXT = 300
+_MAX_TEXT_CHARS = 300
 
 
-class OrderCarrier:
-    """Sends orders that the control leader still stands by."""
+class OrderSender:
+    """Sends orders to engines after the control leader has confirmed them."""
 
     def __init__(self, replicas: Replicas, clock: Clock) -> None:
         self._replicas = replicas
         self._clock = clock
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def offered(self, offer: changes.OrderOffer) -> None:
-        """Carries an order in the background."""
-        task = asyncio.create_task(self._carry(offer))
+    def handle_offer(self, offer: changes.OrderOffer) -> None:
+        """Sends an offered order in the background."""
+        task = asyncio.create_task(self._send_order(offer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """Gives up what is under way; the leader asks another entry."""
+        """Cancels the orders in progress; the leader asks another entry."""
         for task in self._tasks:
             task.cancel()
 
-    async def _carry(self, offer: changes.OrderOffer) -> None:
+    async def _send_order(self, offer: changes.OrderOffer) -> None:
         sent_ms = self._clock.now_ms()
 
         def claim(ask: int) -> changes.OrderClaim:
@@ -57,38 +57,40 @@
             lease = await self._replicas.ask(
                 sharding.CONTROL_GROUP, claim, _CLAIM_TIMEOUT_S
             )
-            # An entry that was frozen after its question would send an order
-            # that has been overtaken; an engine that ignores fencing tokens
-            # would obey it. So the time counts from the question.
+            # An entry that was frozen after its claim could send an outdated
+            # order, and an engine that ignores fencing tokens would follow it.
+            # So the lease counts from the time of the claim.
             left_ms = sent_ms + lease.valid_ms - self._clock.now_ms()
             if not lease.valid_ms or left_ms <= 0:
                 return
-            ok, text = await _post(lease, left_ms)
+            is_accepted, text = await _post_order(lease, left_ms)
             await self._replicas.ask(
                 sharding.CONTROL_GROUP,
                 lambda ask: changes.OrderResult(
                     ask=ask,
                     plan_id=offer.plan_id,
                     step=offer.step,
-                    ok=ok,
+                    ok=is_accepted,
                     text=text,
                 ),
                 _RESULT_TIMEOUT_S,
             )
         except PeerLostError as exc:
-            log.warning("order not carried: %s", exc)
+            log.warning("order not sent or not confirmed: %s", exc)
 
 
-async def _post(lease: changes.OrderLease, left_ms: int) -> tuple[bool, str]:
-    """Returns whether the engine took the order, and what it said."""
+async def _post_order(
+    lease: changes.OrderLease, left_ms: int
+) -> tuple[bool, str]:
+    """Returns whether the engine accepted the order, and its answer."""
     body = {**json.loads(lease.body), "fence": lease.fence}
     timeout = aiohttp.ClientTimeout(total=left_ms / _MS_PER_S)
     try:
         async with (
-            aiohttp.ClientSession(timeout=timeout) as http,
-            http.post(lease.address + _PATH, json=body) as resp,
+            aiohttp.ClientSession(timeout=timeout) as session,
+            session.post(lease.address + _ORDERS_PATH, json=body) as resp,
         ):
-            text = (await resp.text())[:_MAX_TEXT]
+            text = (await resp.text())[:_MAX_TEXT_CHARS]
             return resp.ok, f"{resp.status}: {text}"
     except (aiohttp.ClientError, TimeoutError) as exc:
         return False, f"no answer: {exc!r}"
--- a/catkinpin/adapters/entry/outcomes.py
+++ b/catkinpin/adapters/entry/outcomes.py
@@ -1,4 +1,4 @@
-"""Builds the outcome of an attempt, which goes to the shard's leader."""
+"""Builds the outcome of an attempt for the shard's leader."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 STATUS_OK = 200
 
 
-def failed(
+def may_have_run(
     grant: Granted, reason: Reason, text: str, *, crashed: bool = False
 ) -> Finish:
-    """Returns the outcome where no answer came and the request may have run."""
+    """Returns the outcome if no answer came and the request may have run."""
     return Finish(
         ask=0,
         key=grant.key,
@@ -30,7 +30,7 @@
 
 
 def not_run(grant: Granted, reason: Reason, text: str) -> Finish:
-    """Returns the outcome where the request certainly did not run."""
+    """Returns the outcome if the request certainly did not run."""
     return Finish(
         ask=0,
         key=grant.key,
@@ -41,8 +41,8 @@
     )
 
 
-def answered(grant: Granted, assembler: chat.Assembler) -> Finish:
-    """Returns the outcome of a model call that went well."""
+def ran_stream(grant: Granted, assembler: chat.Assembler) -> Finish:
+    """Returns the outcome of a model call whose stream is complete."""
     answer = Answer(
         status=STATUS_OK,
         content_type="application/json",
@@ -59,8 +59,8 @@
     )
 
 
-def whole(grant: Granted, answer: Answer) -> Finish:
-    """Returns the outcome of a call that the server answered in one piece."""
+def ran(grant: Granted, answer: Answer) -> Finish:
+    """Returns the outcome of a call that was answered without a stream."""
     return Finish(
         ask=0,
         key=grant.key,
--- a/catkinpin/adapters/entry/outgoing.py
+++ b/catkinpin/adapters/entry/outgoing.py
@@ -1,4 +1,4 @@
-"""Requests as they go to backend servers, and how long each may take."""
+"""Requests to backend servers, and their timeouts."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Outgoing:
-    """A request as it goes to a backend server.
+class BackendRequest:
+    """A request to a backend server.
 
     Attributes:
         kind: `model` or `service`.
-        deadline_ms: milliseconds left of the caller's deadline.
+        deadline_ms: milliseconds left until the caller's deadline.
     """
 
     kind: str
@@ -24,14 +24,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Timeouts:
-    """How long to wait for a backend server, in milliseconds.
+class BackendTimeouts:
+    """Timeouts for backend servers.
 
     Attributes:
-        connect_ms: for a connection.
-        progress_low_ms: shortest silence of a stream that is looked into.
-        progress_high_ms: longest silence that is not looked into.
-        first_token_ms: for an engine's first event.
+        connect_ms: connect timeout.
+        progress_low_ms: lower bound of the estimated timeout after which a
+            silent stream is resumed on a new connection.
+        progress_high_ms: its upper bound.
+        first_token_ms: timeout for an engine's first event.
     """
 
     connect_ms: int
--- a/catkinpin/adapters/entry/relays.py
+++ b/catkinpin/adapters/entry/relays.py
@@ -1,9 +1,9 @@
-"""A call that an entry in the server's region dispatches for another entry.
+"""Relays calls to an entry in the server's region, which dispatches them.
 
-The caller's entry sends new messages only and gets the answer's events back.
-Where the two lose each other, the caller's entry asks the server about the
-attempt itself, and the other reports the outcome to the shard's leader, so
-that it is known even if the caller's entry is gone for good.
+The caller's entry sends only the messages that are new in the prompt, and
+receives the answer's events. If the connection between the entries breaks, the
+caller's entry asks the server about the attempt. The other entry reports the
+outcome to the shard's leader, because the caller's entry may be gone for good.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from catkinpin import chat, digest, metrics
 from catkinpin.adapters.entry import outcomes
-from catkinpin.adapters.entry.outgoing import Outgoing
+from catkinpin.adapters.entry.outgoing import BackendRequest
 from catkinpin.adapters.peers import links, streams
 from catkinpin.core import messages
 from catkinpin.core.programs import texts
@@ -32,25 +32,25 @@
 
 log = logging.getLogger(__name__)
 
-# A relay that is not reached within this time is left out: the server is
-# asked from here, at the price of more bytes between the regions.
-_CONNECT_S = 0.3
+# If the relay does not connect within this time, this entry dispatches the
+# call itself, which sends more bytes between the regions.
+_CONNECT_TIMEOUT_S = 0.3
 _MS_PER_S = 1000
 
 
 @dataclasses.dataclass(frozen=True)
-class History:
-    """Digests of a prompt's messages, and how many the program had before.
+class PromptDigests:
+    """Digests of a prompt's messages, and how many the program already had.
 
     Attributes:
         digests: a digest for each message of the prompt.
-        known: how many of them an earlier prompt and its answer held.
+        known_count: how many of them an earlier prompt and answer contained.
     """
 
     digests: list[bytes]
-    known: int
+    known_count: int
 
-    def head(self, count: int) -> bytes:
+    def chain_head(self, count: int) -> bytes:
         """Returns the digest chain over the first `count` messages."""
         head = b""
         for one in self.digests[:count]:
@@ -59,7 +59,7 @@
 
 
 class RelayClient:
-    """The caller's entry: has calls dispatched by entries of other regions."""
+    """Relays calls from the caller's entry to entries in other regions."""
 
     def __init__(
         self,
@@ -68,11 +68,11 @@
     ) -> None:
         self._dispatcher = dispatcher
         self._link_to = link_to
-        self._taking: dict[int, Callable[[bytes], None]] = {}
+        self._receivers: dict[int, Callable[[bytes], None]] = {}
 
-    def chunk(self, chunk: messages.Chunk) -> None:
-        """Takes part of an answer; one that nobody waits for is dropped."""
-        on_data = self._taking.get(chunk.ask)
+    def handle_chunk(self, chunk: messages.Chunk) -> None:
+        """Passes on a part of an answer; drops it if its call has ended."""
+        on_data = self._receivers.get(chunk.ask)
         if on_data is None:
             metrics.DROPPED_ANSWERS.inc()
             return
@@ -81,57 +81,65 @@
     async def dispatch(
         self,
         grant: Granted,
-        req: Outgoing,
-        history: History,
+        req: BackendRequest,
+        history: PromptDigests,
         on_data: Callable[[bytes], None],
     ) -> Finish:
-        """Has a call dispatched, or does it from here where that fails."""
+        """Relays a call, or dispatches it from here if no relay is connected.
+
+        Calls `on_data` with each event of a model's stream, in order. Returns
+        the outcome.
+        """
         link = self._link_to(grant.dispatcher)
         try:
-            async with asyncio.timeout(_CONNECT_S):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 await link.connected.wait()
         except TimeoutError:
             log.warning("relay not reached", extra={"peer": grant.dispatcher})
             return await self._dispatcher.dispatch(grant, req, on_data)
-        passed = 0
+        event_count = 0
 
-        def feed(data: bytes) -> None:
-            nonlocal passed
-            passed += 1
+        def count_and_pass(data: bytes) -> None:
+            nonlocal event_count
+            event_count += 1
             on_data(data)
 
         loop = asyncio.get_running_loop()
         deadline = loop.time() + req.deadline_ms / _MS_PER_S
         try:
-            reply = await self._ask(link, grant, req, history, feed)
+            reply = await self._ask(link, grant, req, history, count_and_pass)
             if isinstance(reply, messages.NeedWhole):
-                whole = dataclasses.replace(history, known=0)
-                reply = await self._ask(link, grant, req, whole, feed)
+                complete = dataclasses.replace(history, known_count=0)
+                reply = await self._ask(
+                    link, grant, req, complete, count_and_pass
+                )
             finish: Finish = reply.finish
             return finish
         except PeerLostError as exc:
             left_ms = int((deadline - loop.time()) * _MS_PER_S)
             if left_ms <= 0:
                 text = "the deadline passed"
-                return outcomes.failed(grant, Reason.DEADLINE, text)
+                return outcomes.may_have_run(grant, Reason.DEADLINE, text)
             if not exc.sent:
                 text = "the entry in the server's region was lost"
                 return outcomes.not_run(grant, Reason.SERVER_FAILED, text)
             log.warning("relay lost", extra={"peer": grant.dispatcher})
             req = dataclasses.replace(req, deadline_ms=left_ms)
-            return await self._dispatcher.recover(grant, req, passed, on_data)
+            return await self._dispatcher.recover(
+                grant, req, event_count, on_data
+            )
 
     async def _ask(
         self,
         link: links.PeerLink,
         grant: Granted,
-        req: Outgoing,
-        history: History,
+        req: BackendRequest,
+        history: PromptDigests,
         on_data: Callable[[bytes], None],
     ) -> Any:
         body = req.body
-        if history.known:
-            body = chat.without_messages(body, history.known)
+        if history.known_count:
+            body = chat.without_messages(body, history.known_count)
         message = messages.Dispatch(
             ask=links.next_ask(),
             grant=msgspec.structs.replace(grant, history=[]),
@@ -142,25 +150,25 @@
             body=body,
             deadline_ms=req.deadline_ms,
             traceparent=req.traceparent,
-            base=history.head(history.known),
-            head=history.head(len(history.digests)),
+            base=history.chain_head(history.known_count),
+            head=history.chain_head(len(history.digests)),
         )
-        self._taking[message.ask] = on_data
+        self._receivers[message.ask] = on_data
         try:
             return await link.ask(message, req.deadline_ms / _MS_PER_S)
         finally:
-            del self._taking[message.ask]
+            del self._receivers[message.ask]
 
 
 class RelayServer:
-    """The entry in the server's region: dispatches for other entries.
+    """Dispatches relayed calls at the entry in the server's region.
 
     Args:
-        report: takes an outcome to the shard's leader.
-        max_bytes: how much of programs' histories is held.
+        report: reports an outcome to the shard's leader.
+        max_bytes: size limit of the cache of programs' histories.
 
     Attributes:
-        running: calls under way.
+        running: tasks of the calls in progress.
     """
 
     def __init__(
@@ -171,29 +179,29 @@
     ) -> None:
         self._dispatcher = dispatcher
         self._report = report
-        self._histories = texts.HistoryCache(max_bytes)
+        self._history_cache = texts.HistoryCache(max_bytes)
         self.running: set[asyncio.Task[None]] = set()
 
     def handle(self, stream: links.Stream, message: messages.Dispatch) -> None:
-        """Begins to dispatch a call for another entry."""
+        """Starts to dispatch a call for another entry."""
         body = message.body
         prompt: list[bytes] = []
         if message.kind == "model":
-            held = self._held(message.base)
-            if held is None:
+            cached = self._cached_history(message.base)
+            if cached is None:
                 stream.send(messages.NeedWhole(ask=message.ask))
                 return
-            prompt = [*held, *chat.raw_messages(body)]
+            prompt = [*cached, *chat.raw_messages(body)]
             body = chat.with_messages(body, prompt)
         grant = streams.received_grant(message.grant, stream)
         if self._dispatcher.grants.knows(grant.attempt):
             metrics.DROPPED_ANSWERS.inc()
             return
-        refused = self._dispatcher.use(grant)
+        refused = self._dispatcher.use_grant(grant)
         if refused is not None:
             stream.send(messages.Dispatched(ask=message.ask, finish=refused))
             return
-        req = Outgoing(
+        req = BackendRequest(
             kind=message.kind,
             method=message.method,
             path=message.path,
@@ -208,19 +216,19 @@
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
-    def _held(self, base: bytes) -> list[bytes] | None:
+    def _cached_history(self, base: bytes) -> list[bytes] | None:
         if not base:
             return []
-        held = self._histories.get(base)
-        metrics.RELAY_CACHE.labels("hit" if held else "miss").inc()
-        return held
+        cached = self._history_cache.get(base)
+        metrics.RELAY_CACHE.labels("hit" if cached else "miss").inc()
+        return cached
 
     async def _dispatch(
         self,
         stream: links.Stream,
         message: messages.Dispatch,
         grant: Granted,
-        req: Outgoing,
+        req: BackendRequest,
         prompt: list[bytes],
     ) -> None:
         finish = await self._dispatcher.dispatch(
@@ -233,17 +241,19 @@
         if finish.messages:
             answer = finish.messages[-1]
             head = digest.chain(message.head, digest.of_bytes(answer))
-            self._histories.put(head, [*prompt, answer], message.base)
+            self._history_cache.put(head, [*prompt, answer], message.base)
         stream.send(messages.Dispatched(ask=message.ask, finish=finish))
         if stream.closed:
-            # The caller's entry may be gone for good. Unless the leader gets
-            # the outcome from here, a resent request would wait in vain.
-            await self._report(self._completed(finish, prompt, grant.skip))
+            # The caller's entry may be gone for good. Without this report, a
+            # resent request would wait until its deadline.
+            await self._report(
+                self._with_request_messages(finish, prompt, grant.skip)
+            )
 
-    def _completed(
+    def _with_request_messages(
         self, finish: Finish, prompt: list[bytes], skip: int
     ) -> Finish:
-        """Returns an outcome with the request's messages, for the history."""
+        """Returns an outcome with the request's new messages added."""
         if not finish.messages:
             return finish
         new = [chat.canonical_raw(message) for message in prompt[skip:]]
--- a/catkinpin/adapters/entry/servicecalls.py
+++ b/catkinpin/adapters/entry/servicecalls.py
@@ -1,4 +1,4 @@
-"""One attempt at a plain service."""
+"""Runs an attempt at a plain service."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from catkinpin.verdicts import Reason
 
 if TYPE_CHECKING:
-    from catkinpin.adapters.entry.outgoing import Outgoing
+    from catkinpin.adapters.entry.outgoing import BackendRequest
     from catkinpin.core.messages import Finish, Granted
 
-# Between two questions about an attempt whose connection has broken.
-_ASK_RETRY_S = 0.1
+# Interval of status requests for an attempt whose connection has broken.
+_STATUS_POLL_INTERVAL_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
@@ -24,24 +24,25 @@
     """An attempt at a plain service.
 
     Attributes:
-        check_s: after so long without an answer the server is asked on a new
-            connection, for the old one may have gone silent for good.
+        check_interval_s: how often the server is asked for the status of an
+            unanswered attempt. It is asked on a new connection, because the
+            old one may have failed silently.
     """
 
-    servers: backends.Backends
+    sessions: backends.BackendSessions
     grant: Granted
-    req: Outgoing
+    req: BackendRequest
     headers: dict[str, str]
-    check_s: float
+    check_interval_s: float
 
     async def run(self) -> Finish:
         """Sends the request and returns the outcome."""
-        task = asyncio.create_task(self._request())
+        task = asyncio.create_task(self._send_request())
         try:
             while not task.done():
-                await asyncio.wait({task}, timeout=self.check_s)
+                await asyncio.wait({task}, timeout=self.check_interval_s)
                 if not task.done():
-                    finish = await self._check()
+                    finish = await self._check_attempt()
                     if finish is not None:
                         return finish
             return task.result() or await self.recover()
@@ -49,64 +50,68 @@
             task.cancel()
 
     async def recover(self) -> Finish:
-        """Finds out what became of a request whose connection broke."""
+        """Asks for the outcome of an attempt whose connection broke."""
         while True:
-            status = await self.servers.ask(self.grant, self.check_s)
-            finish = self._decided(status)
+            status = await self.sessions.query_attempt(
+                self.grant, self.check_interval_s
+            )
+            finish = self._final_outcome(status)
             if finish is not None:
                 return finish
             if status.attempt_state is not AttemptState.RUNNING:
-                # Whoever waited on would find out nothing more, and the
-                # caller must hear at once that the outcome is unknown.
-                return outcomes.failed(
+                # Asking again would not help, and the caller must learn at
+                # once that the outcome is unknown.
+                return outcomes.may_have_run(
                     self.grant,
                     Reason.OUTCOME_UNKNOWN,
                     f"{self.grant.server.server}: the connection broke, and"
                     " the server can't tell whether the request ran",
                     crashed=status.attempt_state is AttemptState.GONE,
                 )
-            await asyncio.sleep(_ASK_RETRY_S)
+            await asyncio.sleep(_STATUS_POLL_INTERVAL_S)
 
-    async def _request(self) -> Finish | None:
-        """Returns the outcome, or None where the connection broke."""
+    async def _send_request(self) -> Finish | None:
+        """Returns the outcome, or None if the connection broke."""
         url = self.grant.server.address + self.req.path
         try:
-            async with self.servers.fresh.request(
+            async with self.sessions.unpooled.request(
                 self.req.method,
                 url,
                 data=self.req.body,
                 headers=self.headers,
                 allow_redirects=False,
             ) as resp:
-                if backends.crossed(self.grant, resp):
+                if backends.answers_other_attempt(self.grant, resp):
                     return None
-                if backends.says_not_run(self.grant, resp):
+                if backends.confirms_not_run(self.grant, resp):
                     text = backends.error_text(await resp.read())
                     return outcomes.not_run(
                         self.grant, Reason.SERVER_REFUSED, text
                     )
                 answer = await backends.read_answer(resp)
-                return outcomes.whole(self.grant, answer)
-        except backends.UNCONNECTED as exc:
+                return outcomes.ran(self.grant, answer)
+        except backends.CONNECT_ERRORS as exc:
             text = f"{self.grant.server.server}: {type(exc).__name__}"
             return outcomes.not_run(self.grant, Reason.SERVER_FAILED, text)
-        except (*backends.BROKEN, TimeoutError):
+        except (*backends.CONNECTION_ERRORS, TimeoutError):
             return None
 
-    async def _check(self) -> Finish | None:
-        """Asks about a request that is not answered; None: wait on."""
-        status = await self.servers.ask(self.grant, self.check_s)
-        finish = self._decided(status)
+    async def _check_attempt(self) -> Finish | None:
+        """Returns the outcome of an unanswered attempt; None if undecided."""
+        status = await self.sessions.query_attempt(
+            self.grant, self.check_interval_s
+        )
+        finish = self._final_outcome(status)
         if finish is not None:
             metrics.RETIRED_CONNECTIONS.labels("service").inc()
         return finish
 
-    def _decided(self, status: backends.AttemptStatus) -> Finish | None:
+    def _final_outcome(self, status: backends.AttemptStatus) -> Finish | None:
         if (
             status.attempt_state is AttemptState.DONE
             and status.answer is not None
         ):
-            return outcomes.whole(self.grant, status.answer)
+            return outcomes.ran(self.grant, status.answer)
         if status.attempt_state is AttemptState.NOT_RUN:
             text = "the server says that the request did not run"
             return outcomes.not_run(self.grant, Reason.SERVER_FAILED, text)
--- a/catkinpin/adapters/entry/shards.py
+++ b/catkinpin/adapters/entry/shards.py
@@ -1,4 +1,4 @@
-"""The entry's connections to the replicas, and who leads what."""
+"""The connections to the replicas, and the leaders of the log groups."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 log = logging.getLogger(__name__)
 
-_RETRY_S = 0.05
+_RETRY_DELAY_S = 0.05
 
 
 class Replicas:
-    """Streams to all replicas.
+    """Connections to all replicas.
 
     Args:
         addresses: peer addresses of the replicas.
-        hello: how this entry introduces itself.
+        hello: introduces this process to the replicas.
         on_message: called with messages that are not replies.
-        on_connected: called with each stream that comes up.
+        on_connected: called with each link that is established.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         on_connected: Callable[[links.PeerLink], None],
     ) -> None:
         self._leaders: dict[str, messages.GroupLeader] = {}
-        self._asked: dict[int, tuple[str, links.PeerLink]] = {}
+        self._pending_asks: dict[int, tuple[str, links.PeerLink]] = {}
         self._on_message = on_message
         self.links: dict[str, links.PeerLink] = {}
         for address in addresses:
@@ -45,18 +45,18 @@
             )
 
     def start(self) -> None:
-        """Begins to connect to all replicas."""
+        """Starts to connect to all replicas."""
         for link in self.links.values():
             link.start()
 
     async def stop(self) -> None:
-        """Closes all streams."""
+        """Closes all connections."""
         for link in self.links.values():
             await link.stop()
 
     def knows_leader(self, group: str) -> bool:
         """Returns whether the group's leader is known and connected."""
-        link = self._leader(group)
+        link = self._leader_link(group)
         return link is not None and link.connected.is_set()
 
     def broadcast(self, message: Any) -> None:
@@ -65,15 +65,15 @@
             link.send(message)
 
     async def ask(
-        self, group: str, make: Callable[[int], Any], timeout_s: float
+        self, group: str, make_message: Callable[[int], Any], timeout_s: float
     ) -> Any:
-        """Asks the group's leader, and asks again when leadership moves.
+        """Asks the group's leader, and asks again if the leader changes.
 
         Args:
             group: the log group.
-            make: builds the message from the number that correlates the reply;
-                the message must be safe to send more than once.
-            timeout_s: when to give up.
+            make_message: builds the message from the number that matches the
+                reply to it. The message must be safe to send more than once.
+            timeout_s: how long to retry.
 
         Raises:
             PeerLostError: no leader answered in time.
@@ -82,46 +82,46 @@
         deadline = loop.time() + timeout_s
         sent = False
         while True:
-            left = deadline - loop.time()
-            if left <= 0:
+            left_s = deadline - loop.time()
+            if left_s <= 0:
                 text = f"no leader of {group} answered"
                 raise PeerLostError(text, sent=sent)
             try:
-                return await self._ask_leader(group, make, left)
+                return await self._ask_leader(group, make_message, left_s)
             except (PeerLostError, NotLeaderError) as exc:
                 sent = sent or (isinstance(exc, PeerLostError) and exc.sent)
                 log.debug("ask again: %s", exc, extra={"group": group})
-            await asyncio.sleep(_RETRY_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
 
     async def _ask_leader(
-        self, group: str, make: Callable[[int], Any], left: float
+        self, group: str, make_message: Callable[[int], Any], left_s: float
     ) -> Any:
-        link = self._leader(group)
+        link = self._leader_link(group)
         if link is None:
             text = f"no leader of {group} is known"
             raise PeerLostError(text, sent=False)
         ask = links.next_ask()
-        self._asked[ask] = (group, link)
+        self._pending_asks[ask] = (group, link)
         try:
-            reply = await link.ask(make(ask), left)
+            reply = await link.ask(make_message(ask), left_s)
         finally:
-            del self._asked[ask]
+            del self._pending_asks[ask]
         if isinstance(reply, messages.NotLeader):
             raise NotLeaderError(reply.leader)
         return reply
 
-    def _leader(self, group: str) -> links.PeerLink | None:
+    def _leader_link(self, group: str) -> links.PeerLink | None:
         known = self._leaders.get(group)
         return self.links.get(known.leader) if known is not None else None
 
-    def _ask_again(self, group: str) -> None:
-        """Takes back what was asked under an earlier term.
+    def _abandon_asks(self, group: str) -> None:
+        """Abandons the asks that were sent to a leader of an earlier term.
 
-        A leader that lost its office forgets who waits for it. Its stream
-        may stay open for ever, and the caller would wait until its deadline.
+        A replica that is no longer leader drops its waiting asks. Its stream
+        may stay open for ever, so the caller would wait until its deadline.
         """
-        for ask, (asked, link) in list(self._asked.items()):
-            if asked == group:
+        for ask, (asked_group, link) in list(self._pending_asks.items()):
+            if asked_group == group:
                 link.give_up(ask)
 
     def _handle(self, message: Any) -> None:
@@ -130,6 +130,6 @@
             if known is None or message.term >= known.term:
                 self._leaders[message.group] = message
             if known is not None and message.term > known.term:
-                self._ask_again(message.group)
+                self._abandon_asks(message.group)
             return
         self._on_message(message)
--- a/catkinpin/adapters/entry/web.py
+++ b/catkinpin/adapters/entry/web.py
@@ -1,4 +1,7 @@
-"""Sanic inside our own loop: no worker processes, no signal handlers."""
+"""Runs Sanic in the process's own event loop.
+
+It starts no worker processes and installs no signal handlers.
+"""
 
 from __future__ import annotations
 
@@ -14,21 +17,21 @@
 
 log = logging.getLogger(__name__)
 
-_CLOSE_S = 2.0
-_CLOSE_POLL_S = 0.01
+_CLOSE_TIMEOUT_S = 2.0
+_CLOSE_POLL_INTERVAL_S = 0.01
 
-_names = itertools.count(1)
+_app_numbers = itertools.count(1)
 
 
 def new_app(role: str, max_body_bytes: int) -> sanic.Sanic[Any, Any]:
     """Returns an application without routes."""
     app: sanic.Sanic[Any, Any] = sanic.Sanic(
-        f"catkinpin-{role}-{next(_names)}", configure_logging=False
+        f"catkinpin-{role}-{next(_app_numbers)}", configure_logging=False
     )
     app.config.ACCESS_LOG = False
     app.config.MOTD = False
-    # The rewriting of methods that this switches off fails for a second
-    # application in one process.
+    # Touchup rewrites methods at start-up, which fails for a second application
+    # in the same process.
     app.config.TOUCHUP = False
     app.config.REQUEST_MAX_SIZE = max_body_bytes
     app.config.RESPONSE_TIMEOUT = 3600
@@ -41,20 +44,20 @@
     """A listening application.
 
     Attributes:
-        address: IP and real port.
+        address: IP address and actual port.
     """
 
     def __init__(self, server: AsyncioServer, address: str) -> None:
         self._server = server
         self.address = address
 
-    async def close(self, timeout_s: float = _CLOSE_S) -> bool:
-        """Stops listening, and ends each connection once it is idle.
+    async def close(self, timeout_s: float = _CLOSE_TIMEOUT_S) -> bool:
+        """Stops listening, and closes each connection once it is idle.
 
-        An answer that is being written reaches its caller whole.
+        Responses in progress are sent completely within `timeout_s`.
 
         Returns:
-            Whether all connections ended within `timeout_s`.
+            Whether all connections were closed within `timeout_s`.
         """
         self._server.server.close()
         loop = asyncio.get_running_loop()
@@ -62,11 +65,11 @@
         while self._connections() and loop.time() < end:
             for conn in self._connections():
                 conn.close_if_idle()
-            await asyncio.sleep(_CLOSE_POLL_S)
-        left = self._connections()
-        for conn in left:
+            await asyncio.sleep(_CLOSE_POLL_INTERVAL_S)
+        remaining = self._connections()
+        for conn in remaining:
             conn.abort()
-        return not left
+        return not remaining
 
     def _connections(self) -> list[Any]:
         return list(self._server.connections or ())
