--- a/catkinpin/adapters/entry/operators.py
+++ b/catkinpin/adapters/entry/operators.py
@@ -272,7 +272,9 @@
 def _check_operator(entry: EntryContext, req: sanic.Request) -> None:
     scheme, _, key = req.headers.get("authorization", "").partition(" ")
     given = configuration.key_digest(key.strip())
-    wanted = entry.cfg.operator_key_sha256
-    ok = scheme.lower() == "bearer" and hmac.compare_digest(given, wanted)
-    if not wanted or not ok:
+    expected = entry.cfg.operator_key_sha256
+    matches = scheme.lower() == "bearer" and hmac.compare_digest(
+        given, expected
+    )
+    if not expected or not matches:
         raise sanic.exceptions.Unauthorized("the operators' key is needed")
--- a/catkinpin/adapters/entry/orders.py
+++ b/catkinpin/adapters/entry/orders.py
@@ -48,14 +48,14 @@
     async def _send_order(self, offer: changes.OrderOffer) -> None:
         sent_ms = self._clock.now_ms()
 
-        def claim(ask: int) -> changes.OrderClaim:
+        def make_claim(ask: int) -> changes.OrderClaim:
             return changes.OrderClaim(
                 ask=ask, plan_id=offer.plan_id, step=offer.step
             )
 
         try:
             lease = await self._replicas.ask(
-                sharding.CONTROL_GROUP, claim, _CLAIM_TIMEOUT_S
+                sharding.CONTROL_GROUP, make_claim, _CLAIM_TIMEOUT_S
             )
             # An entry that was frozen after its claim could send an outdated
             # order, and an engine that ignores fencing tokens would follow it.
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,6 +1,6 @@
-"""Faults of entries and between them, with real processes behind a proxy.
+"""Faults of entries and between entries, with real processes behind a proxy.
 
-What is checked comes from the fakes and the callers, not from our counters.
+The checks use what callers and fake servers saw, not Catkinpin's metrics.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
     """Faults of the entry that a caller is connected to."""
 
     def test_entry_dies_while_a_service_works(self) -> None:
-        """An entry is killed while a payment is being made.
+        """Guards against a payment that is made twice or has no answer.
 
-        The caller resends through another entry and gets the answer of the
-        one payment.
+        An entry is killed during the payment, and the caller resends through
+        another entry.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -46,10 +46,10 @@
         self.cell(body, entries=2)
 
     def test_entry_and_leader_die_together(self) -> None:
-        """The hosts of the caller's entry and of the leader fail at once.
+        """Guards against a payment that is made twice or has no answer.
 
-        The caller resends through another entry and gets the answer of the
-        one payment.
+        The caller's entry and the leader are killed at once during the
+        payment, and the caller resends through another entry.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -69,9 +69,10 @@
         self.cell(body, entries=2, replicas=3)
 
     def test_entry_dies_mid_stream(self) -> None:
-        """An entry is killed in the middle of an answer.
+        """Guards against an incomplete answer after an entry was killed.
 
-        The caller resends through another entry and gets the whole answer.
+        The entry is killed while it streams the answer, and the caller resends
+        through another entry.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -88,42 +89,45 @@
         self.cell(body, entries=2, engines={"engine-1": {"token_ms": 20}})
 
     def test_planned_stop_cuts_nothing(self) -> None:
-        """An entry is asked to stop in the middle of two answers.
+        """Guards against calls in flight that a planned stop aborts.
 
-        Both go on to their ends; new requests are refused with "not run" and
-        a time to come back; the process then ends with 0.
+        An entry is stopped during two answers. Both are completed, new
+        requests are refused with "not run" and a retry time, and the process
+        exits with 0.
         """
 
         async def body(cluster: base.Cluster) -> None:
             process = cluster.processes["entry-1"]
-            late: list[replies.Reply] = []
+            late_replies: list[replies.Reply] = []
 
             async def on_token(count: int) -> None:
                 if count == 3:
                     process.signal(signal.SIGTERM)
-                    await base.until(refused, "the entry refuses")
+                    await base.until(is_refused, "the entry refuses")
 
-            async def refused() -> bool:
-                late.append(await self.pay(cluster, key=f"late-{len(late)}"))
-                return late[-1].status != 200
+            async def is_refused() -> bool:
+                late_replies.append(
+                    await self.pay(cluster, key=f"late-{len(late_replies)}")
+                )
+                return late_replies[-1].status != 200
 
-            whole = asyncio.create_task(
+            complete_call = asyncio.create_task(
                 cluster.chat("entry-1", "berater", [base.user("whole")])
             )
             got = await cluster.stream(
                 "entry-1", "berater", [base.user("a")], on_token=on_token
             )
             self.assert_whole(got)
-            self.assertEqual(200, (await whole).status)
-            self.assertEqual("stopping", late[-1].json["error"]["code"])
-            self.assertEqual("not-run", late[-1].verdict)
-            self.assertIn("Retry-After", late[-1].headers)
+            self.assertEqual(200, (await complete_call).status)
+            self.assertEqual("stopping", late_replies[-1].json["error"]["code"])
+            self.assertEqual("not-run", late_replies[-1].verdict)
+            self.assertIn("Retry-After", late_replies[-1].headers)
             self.assertEqual(0, process.wait())
 
         self.cell(body, engines={"engine-1": {"token_ms": 40}})
 
     def test_reload_signal_ends_no_process(self) -> None:
-        """Guards against SIGHUP's default action: calls in flight cut off."""
+        """Guards against SIGHUP's default action, which aborts calls."""
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=500)
@@ -132,14 +136,16 @@
             for name in ("entry-1", "replica-1"):
                 process = cluster.processes[name]
                 process.signal(signal.SIGHUP)
-                logged = functools.partial(self._logged, process, "SIGHUP")
-                await base.until(logged, "the process says what it does")
+                has_logged = functools.partial(
+                    self._has_logged, process, "SIGHUP"
+                )
+                await base.until(has_logged, "the process says what it does")
             self.assertEqual(200, (await call).status)
 
         self.cell(body)
 
     def test_signals_at_the_end_of_a_stop_change_no_exit_code(self) -> None:
-        """Guards against an orderly stop that looks failed to an operator."""
+        """Guards against an orderly stop whose exit code reports a failure."""
 
         async def body(cluster: base.Cluster) -> None:
             for name in ("entry-1", "replica-1"):
@@ -153,7 +159,10 @@
         self.cell(body)
 
     def test_second_signal_ends_at_once(self) -> None:
-        """An operator does not want to wait for a hanging tool any more."""
+        """Guards against a stop that an operator can't shorten.
+
+        A tool hangs, and the operator sends a second signal.
+        """
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=60_000)
@@ -162,7 +171,9 @@
             process = cluster.processes["entry-1"]
             process.signal(signal.SIGTERM)
             await base.until(
-                lambda: self._logged(process, "waiting for calls in flight"),
+                lambda: self._has_logged(
+                    process, "waiting for calls in flight"
+                ),
                 "the entry says what it waits for",
             )
             self.assertIn("pay-1", process.log.read_text())
@@ -172,10 +183,10 @@
         self.cell(body)
 
     def test_stop_timeout_bounds_the_stop(self) -> None:
-        """A planned stop meets a tool that hangs.
+        """Guards against a stop that a hanging tool delays for ever.
 
-        The stop ends after its bound and says by its exit code that a call
-        was cut off.
+        The stop ends at its timeout, and its exit code reports that a call was
+        aborted.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -188,37 +199,38 @@
         self.cell(body, stop_timeout_ms=500)
 
     def test_caller_leaves_mid_stream(self) -> None:
-        """A caller's connection breaks in the middle of its answer.
+        """Guards against generating an answer again for a resent request.
 
-        It resends through another entry and gets the whole answer; the engine
-        generates it once.
+        A caller's connection breaks during its answer, and the caller resends
+        through another entry.
         """
 
         async def body(cluster: base.Cluster) -> None:
             prompt = [base.user("a")]
             headers = {"Idempotency-Key": "a"}
 
-            async def leave(count: int) -> None:
+            async def disconnect(count: int) -> None:
                 if count == 5:
                     raise ConnectionError
 
             with contextlib.suppress(ConnectionError):
                 await cluster.stream(
-                    "entry-1", "berater", prompt, headers, leave
+                    "entry-1", "berater", prompt, headers, disconnect
                 )
             got = await cluster.stream("entry-2", "berater", prompt, headers)
             self.assert_whole(got)
             seen = (await cluster.look("engine-1"))["seen"]
-            ours = [one for one in seen if one["request_id"] == "a"]
-            self.assertEqual(1, len(ours))
+            sent_for_call = [one for one in seen if one["request_id"] == "a"]
+            self.assertEqual(1, len(sent_for_call))
 
         self.cell(body, entries=2, engines={"engine-1": {"token_ms": 20}})
 
     def test_grant_that_comes_late_is_not_used(self) -> None:
-        """A grant is held up on its way to an entry.
+        """Guards against using a grant that has expired.
 
-        By its arrival the leader may have given the place away. Nothing is
-        sent to the server, and the caller hears that its request did not run.
+        The grant is delayed on its way to the entry, and the leader may have
+        given its slot to another call. The entry sends nothing to the server
+        and reports that the request did not run.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -231,56 +243,59 @@
 
         self.cell(body, replicas_proxied=True)
 
-    async def _logged(self, process: processes.Process, text: str) -> bool:
+    async def _has_logged(self, process: processes.Process, text: str) -> bool:
         return text in process.log.read_text()
 
 
 class ServerLifeTest(cells.FaultsTest):
-    """Servers that leave, return and announce themselves twice."""
+    """Servers that leave, restart and announce themselves twice."""
 
     def test_leaving_server_gets_no_new_work(self) -> None:
-        """A server announces under load that it is leaving.
+        """Guards against requests to a server that has announced its leave.
 
-        After two seconds it gets no request any more, and the answers that it
-        is giving come to their ends.
+        The server leaves under load. It gets no request after two seconds, and
+        its answers in progress are completed.
         """
 
         async def body(cluster: base.Cluster) -> None:
             cluster.add_fake("engine", "engine-2")
-            # Without another server that is known, calls are refused rightly.
+            # Without another known server, calls would be refused correctly.
             await self.known(cluster, "engine-2")
             results: list[replies.Streamed] = []
-            until = time.monotonic() + 3.5
+            load_end_s = time.monotonic() + 3.5
 
-            async def load(worker: int) -> None:
-                while time.monotonic() < until:
+            async def send_load(worker: int) -> None:
+                while time.monotonic() < load_end_s:
                     results.append(
                         await cluster.stream(
                             "entry-1", "berater", [base.user(f"w{worker}")]
                         )
                     )
 
-            async def leave() -> float:
+            async def announce_leave() -> float:
                 await asyncio.sleep(1.0)
-                # It still takes what comes: nobody may send any.
+                # It still accepts requests, so that late ones are noticed.
                 await cluster.steer("engine-1", leaving=True, lenient=True)
                 return time.time()
 
-            *_, left_at = await asyncio.gather(*map(load, range(4)), leave())
+            *_, left_at = await asyncio.gather(
+                *map(send_load, range(4)), announce_leave()
+            )
             for got in results:
                 self.assert_whole(got)
             seen = (await cluster.look("engine-1"))["seen"]
             self.assertTrue(seen)
-            late = [one["at"] - left_at for one in seen]
-            self.assertLess(max(late), 2.0)
+            delays_s = [one["at"] - left_at for one in seen]
+            self.assertLess(max(delays_s), 2.0)
 
         self.cell(body)
 
     def test_server_returns_and_announces_twice(self) -> None:
-        """A service is restarted under its old address and announces twice.
+        """Guards against a wrong verdict after a service has restarted.
 
-        Requests go to its new life and run once; a request that was under way
-        in its old life may have run, whatever the new one knows.
+        The service restarts under its old address and announces itself twice.
+        New requests run once. A request of the earlier incarnation may have
+        run, whatever the new incarnation answers.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -291,11 +306,11 @@
             cluster.processes["service-1"].start()
             self.assertEqual("may-have-run", (await call).verdict)
 
-            async def served() -> bool:
+            async def is_served() -> bool:
                 reply = await self.pay(cluster, key="new")
                 return reply.status == 200
 
-            await base.until(served, "the new life is served")
+            await base.until(is_served, "the new incarnation is served")
             seen = await cluster.look("service-1")
             self.assertEqual({"new": 1}, seen["effects"])
 
@@ -303,12 +318,13 @@
 
 
 class RelayFaultsTest(cells.FaultsTest):
-    """Faults between the entries of two regions."""
+    """Faults between entries in two regions."""
 
     def test_history_crosses_once(self) -> None:
-        """A long session's caller and engine stand in two regions.
+        """Guards against sending a program's history with every turn.
 
-        Each turn sends only what is new over the link between them.
+        The caller and the engine are in two regions, and each turn may send
+        only new messages over the link between them.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -333,29 +349,30 @@
             self.assertEqual(5, len(seen["messages"]))
             self.assertLess(max(sizes[1:]), 2_000)
 
-        self.regions(body)
+        self.run_in_two_regions(body)
 
     def test_relay_entry_dies_mid_stream(self) -> None:
-        """The entry in the engine's region is killed in mid-answer.
+        """Guards against losing an answer when the relaying entry is killed.
 
-        The caller's entry resumes the stream at the engine; the caller gets
-        the whole answer.
+        The caller's entry resumes the stream at the engine.
         """
-        self._relay_lost(lambda c: c.processes["entry-2"].kill())
+        self._check_lost_relay(lambda c: c.processes["entry-2"].kill())
 
     def test_link_is_cut_mid_stream(self) -> None:
-        """The link between two entries is cut in mid-answer."""
-        self._relay_lost(lambda c: c.steer("entry-2-proxy", cut=True))
+        """Guards against losing an answer when the link is cut."""
+        self._check_lost_relay(lambda c: c.steer("entry-2-proxy", cut=True))
 
     def test_link_goes_silent_mid_stream(self) -> None:
-        """The link goes silent one way in mid-answer, for good."""
-        self._relay_lost(lambda c: c.steer("entry-2-proxy", down_silent=True))
+        """Guards against losing an answer on a link that drops one way."""
+        self._check_lost_relay(
+            lambda c: c.steer("entry-2-proxy", down_silent=True)
+        )
 
     def test_callers_entry_dies_while_another_region_works(self) -> None:
-        """The caller's entry is killed while a payment runs far away.
+        """Guards against losing an outcome when the caller's entry is killed.
 
-        The entry in the service's region reports the outcome, so that the
-        caller's resend gets it without a question to the service.
+        A payment runs in another region. The entry there reports the outcome,
+        so that a resent request gets it without a status request.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -370,25 +387,29 @@
             self.assertEqual(1, seen["effects"]["pay-1"])
             self.assertEqual([], seen["asked"])
 
-        self.regions(body)
+        self.run_in_two_regions(body)
 
-    def _relay_lost(self, act: Callable[[base.Cluster], Any]) -> None:
+    def _check_lost_relay(
+        self, inject_fault: Callable[[base.Cluster], Any]
+    ) -> None:
         async def body(cluster: base.Cluster) -> None:
             got = await cluster.stream(
                 "entry-1",
                 "berater",
                 [base.user("a")],
-                on_token=cells.at(5, lambda: act(cluster)),
+                on_token=cells.at(5, lambda: inject_fault(cluster)),
             )
             self.assert_whole(got)
             seen = (await cluster.look("engine-1"))["seen"]
             attempts = [one["messages"] for one in seen]
             self.assertEqual(1, attempts.count([base.user("a")]))
 
-        self.regions(body)
+        self.run_in_two_regions(body)
 
-    def regions(self, body: Callable[[base.Cluster], Awaitable[None]]) -> None:
-        """Runs a test's body with caller and engine in two regions."""
+    def run_in_two_regions(
+        self, body: Callable[[base.Cluster], Awaitable[None]]
+    ) -> None:
+        """Runs a test's body with the caller and the engine in two regions."""
 
         async def main() -> None:
             async with base.Cluster(self.folder) as cluster:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,6 +1,6 @@
-"""Faults of backend servers and of the way to them, with real processes.
+"""Faults of backend servers and of their connections, with real processes.
 
-What is checked comes from the fakes and the callers, not from our counters.
+The checks use what callers and fake servers saw, not Catkinpin's metrics.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
     """Faults between an entry and a plain service."""
 
     def test_service_breaks_off_after_the_effect(self) -> None:
-        """A payment service acts, then its connection is reset.
+        """Guards against the HTTP library resending a payment by itself.
 
-        The HTTP library would send a PUT again by itself, and the customer
-        would pay twice. The answer is fetched instead; where the service
-        can't tell, the caller hears at once that the outcome is unknown.
+        A service acts on a PUT, then its connection is reset. The entry must
+        ask for the answer instead. If the service can't tell, the caller must
+        learn at once that the outcome is unknown.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -41,10 +41,11 @@
         self.cell(body)
 
     def test_service_dies_after_the_effect(self) -> None:
-        """A payment service is killed when it has charged the card.
+        """Guards against charging a card again at another server.
 
-        The caller hears at once that the payment may have run; no other
-        server charges the card again, also when the caller resends.
+        A payment service is killed after it has charged the card. The caller
+        must learn at once that the payment may have run, and a resent request
+        must not run again.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -59,14 +60,15 @@
             lines = (self.folder / "effects").read_text().split()
             self.assertEqual(1, lines.count("pay-1"))
 
-        own = {"effects_file": self.folder / "effects"}
-        services = {"service-1": own, "service-2": own}
+        options = {"effects_file": self.folder / "effects"}
+        services = {"service-1": options, "service-2": options}
         self.cell(body, services=services)
 
     def test_service_killed_before_the_request(self) -> None:
-        """A service is killed, and a request follows before that is known.
+        """Guards against failing a request that was certainly not sent.
 
-        Nothing can have left for it, so another server runs the request.
+        A service is killed, and a request follows before this is noticed. No
+        connection is established, so another server must run the request.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -84,9 +86,10 @@
         self.cell(body, services={"service-1": {}, "service-2": {}})
 
     def test_answer_is_lost_on_a_silent_connection(self) -> None:
-        """The way back from a service goes silent while it works.
+        """Guards against losing an answer on a connection that goes silent.
 
-        The caller gets the answer all the same, and the effect is one.
+        The service's responses are dropped while it works. The caller must get
+        the answer, and the request must take effect once.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -103,10 +106,11 @@
         self.cell(body, services=services, **cells.FAST)
 
     def test_request_is_lost_on_a_silent_connection(self) -> None:
-        """The way to a service swallows a request on a new connection.
+        """Guards against failing a request that was lost on its way.
 
-        The service says that it never got it, and refuses it from then on, so
-        that it can be sent again.
+        A new connection drops the request. The service answers that it did not
+        receive the request and refuses it from then on, so that it can be sent
+        again.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -122,10 +126,7 @@
         self.cell(body, services=services, **cells.FAST)
 
     def test_tool_hangs_until_the_deadline(self) -> None:
-        """A tool never answers.
-
-        Its caller gets a final answer when its deadline passes.
-        """
+        """Guards against waiting beyond the deadline for a hanging tool."""
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=60_000)
@@ -139,9 +140,10 @@
         self.cell(body)
 
     def test_answers_are_crossed(self) -> None:
-        """A service and an engine answer with what belongs to another call.
+        """Guards against passing another call's answer to a caller.
 
-        Neither caller sees a word of it; both get their own answers.
+        A service and an engine send answers that belong to other calls. Both
+        callers must get their own answers.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -160,49 +162,50 @@
 
 
 class StreamFaultsTest(cells.FaultsTest):
-    """Faults between an entry and an engine in the middle of an answer."""
+    """Faults between an entry and an engine during an answer."""
 
     def test_engine_dies_mid_stream(self) -> None:
-        """An engine is killed while it generates an answer.
+        """Guards against lost or repeated tokens after an engine was killed.
 
-        The caller's stream goes on with the next token from another server;
-        no token is missing or comes twice.
+        Another engine generates the answer, and the caller's stream must
+        continue with the next token.
         """
 
         async def body(cluster: base.Cluster) -> None:
-            got = await self._take_over(cluster, "a", salt="")
+            got = await self._stream_with_takeover(cluster, "a", salt="")
             self.assert_whole(got)
 
         self.cell(body)
 
     def test_engine_that_answers_differently_takes_over(self) -> None:
-        """An engine is killed, and the next one generates another text.
+        """Guards against an answer that is joined from two different texts.
 
-        The two parts do not make one answer: the stream ends with an error,
-        and the same request sent again gets the whole answer.
+        An engine is killed, and the next one generates another text. The
+        stream must end with an error, and the resent request must get the
+        complete answer.
         """
 
         async def body(cluster: base.Cluster) -> None:
-            got = await self._take_over(cluster, "a", salt="other")
+            got = await self._stream_with_takeover(cluster, "a", salt="other")
             self.assertEqual("answer-changed", got.error["code"])
             self.assertFalse(got.done)
-            whole = await cluster.chat(
+            complete = await cluster.chat(
                 "entry-1",
                 "berater",
                 [base.user("a")],
                 headers={"Idempotency-Key": "a"},
             )
-            text = whole.json["choices"][0]["message"]["content"]
+            text = complete.json["choices"][0]["message"]["content"]
             self.assertEqual(cells.TOKENS, len(text.split(" ")))
             self.assertNotEqual(got.text, text[: len(got.text)])
 
         self.cell(body)
 
     def test_connection_is_reset_mid_stream(self) -> None:
-        """The connection to an engine is reset while the engine runs on.
+        """Guards against computing a prompt again after a connection reset.
 
-        The stream is resumed at its offset on a new connection: the prompt is
-        not computed again, and the caller notices nothing.
+        The engine continues, so the entry must resume the stream at its offset
+        on a new connection.
         """
 
         async def body(cluster: base.Cluster) -> None:
@@ -216,20 +219,21 @@
         self.cell(body)
 
     def test_connection_goes_silent_mid_stream(self) -> None:
-        """Something on the way to an engine forgets an open connection.
+        """Guards against waiting until the deadline on a silent connection.
 
-        New connections work. The stream is resumed on one long before the
-        deadline; the caller gets the whole answer.
+        A device between entry and engine drops an open connection's packets,
+        while new connections work. The entry must resume the stream on a new
+        one long before the deadline.
         """
 
         async def body(cluster: base.Cluster) -> None:
-            act = cells.at(
+            drop_responses = cells.at(
                 5,
                 lambda: cluster.steer("engine-1-proxy", down_silent_open=True),
             )
             began = time.monotonic()
             got = await cluster.stream(
-                "entry-1", "berater", [base.user("a")], on_token=act
+                "entry-1", "berater", [base.user("a")], on_token=drop_responses
             )
             self.assert_whole(got)
             self.assertLess(time.monotonic() - began, cells.AT_ONCE_S)
@@ -239,31 +243,32 @@
         engines = {"engine-1": {"proxied": True, "token_ms": 20}}
         self.cell(body, engines=engines, **cells.FAST)
 
-    def test_engine_stops_still_and_goes_on(self) -> None:
-        """An engine's process is stopped for a while in mid-stream.
+    def test_engine_is_suspended_and_resumed(self) -> None:
+        """Guards against an incomplete answer when an engine is suspended.
 
-        Either it goes on or another server does; the answer is whole.
+        The engine's process is suspended during the stream and resumed later.
+        Either this engine or another one must complete the answer.
         """
 
         async def body(cluster: base.Cluster) -> None:
             process = cluster.processes["engine-1"]
-            stop = cells.at(5, lambda: process.signal(signal.SIGSTOP))
+            suspend = cells.at(5, lambda: process.signal(signal.SIGSTOP))
             cluster.add_fake("engine", "engine-2")
             asyncio.get_running_loop().call_later(
                 2.5, process.signal, signal.SIGCONT
             )
             got = await cluster.stream(
-                "entry-1", "berater", [base.user("a")], on_token=stop
+                "entry-1", "berater", [base.user("a")], on_token=suspend
             )
             self.assert_whole(got)
 
         engines = {"engine-1": {"token_ms": 20}}
         self.cell(body, engines=engines, **cells.FAST)
 
-    async def _take_over(
+    async def _stream_with_takeover(
         self, cluster: base.Cluster, key: str, salt: str
     ) -> replies.Streamed:
-        """Streams from an engine that is killed once a second one is known."""
+        """Streams from an engine that is killed once a second is known."""
         cluster.add_fake("engine", "engine-2", salt=salt)
         await cluster.steer("engine-2", refuse=True)
         await cluster.steer("engine-1", stall_after=9)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -343,7 +343,7 @@
         answer = self._response_to(b"hello\r\n\r\n")
         self.assertTrue(answer.startswith(b"HTTP/1.1 400 "))
 
-    def test_caller_that_never_ends_its_head_is_let_go(self) -> None:
+    def test_caller_with_unfinished_head_is_disconnected(self) -> None:
         """Guards against running out of file descriptors.
 
         A caller sends half a head and then nothing; without a timeout, its
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, from callers to backend servers, with real processes."""
+"""Calls from callers to backend servers and back, with real processes."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 
 from tests import base
 
-_RAW = b'{"model": "berater", "messages": [{"role": "user", "content": %s}]}'
+_CHAT_BODY = (
+    b'{"model": "berater", "messages": [{"role": "user", "content": %s}]}'
+)
 
 
-def _body(**fields: Any) -> bytes:
+def _chat_body(**fields: Any) -> bytes:
     """Returns a chat request's body with some fields changed."""
     body = {"model": "berater", "messages": [base.user("bad")], **fields}
     return json.dumps(body).encode()
 
 
 class WholePathTest(base.TestCase):
-    """A program is served from one end to the other."""
+    """Requests that pass through entry, replica and backend server."""
 
     def test_openai_client_streams_and_continues(self) -> None:
-        self.run_async(self._openai())
+        self.run_async(self._use_openai_client())
 
-    async def _openai(self) -> None:
+    async def _use_openai_client(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             client = openai.AsyncOpenAI(
@@ -33,10 +35,10 @@
                 default_headers={"Catkinpin-Program": "advisory-1"},
             )
             history: list[Any] = [base.user("Which cantonal calls fit us?")]
-            whole = await client.chat.completions.create(
+            completion = await client.chat.completions.create(
                 model="berater", messages=history
             )
-            message = whole.choices[0].message
+            message = completion.choices[0].message
             self.assertTrue(message.content)
             history += [message.model_dump(), base.user("And federal ones?")]
             stream = await client.chat.completions.create(
@@ -55,14 +57,14 @@
             await client.close()
 
     def test_service_effect_happens_once_for_a_resent_request(self) -> None:
-        """A caller loses the answer and sends its request again.
+        """Guards against running a resent request a second time.
 
-        The user notices nothing: the same answer comes back, and the card is
-        charged once.
+        A caller lost the answer and resends its request. It gets the same
+        answer, and the card is charged once.
         """
-        self.run_async(self._resend())
+        self.run_async(self._resend_request())
 
-    async def _resend(self) -> None:
+    async def _resend_request(self) -> None:
         cluster = await base.small(self.folder, entries=2)
         async with cluster:
             headers = {
@@ -82,9 +84,9 @@
             self.assertEqual(1, seen["effects"]["order-1"])
 
     def test_bad_input_is_refused_and_named(self) -> None:
-        self.run_async(self._bad_input())
+        self.run_async(self._send_bad_input())
 
-    async def _bad_input(self) -> None:
+    async def _send_bad_input(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             for headers, field in (
@@ -109,14 +111,14 @@
             self.assertEqual(200, reply.status)
 
     def test_malformed_requests_harm_nothing(self) -> None:
-        """Callers send whatever: broken JSON, wrong types, huge bodies.
+        """Guards against malformed requests that fail or stop a process.
 
-        Each gets a 4xx error object that says that nothing ran, and the same
-        processes go on serving.
+        Callers send broken JSON, wrong types and huge bodies. Each gets a 4xx
+        error object with the verdict "not run", and no process restarts.
         """
-        self.run_async(self._malformed())
+        self.run_async(self._send_malformed_requests())
 
-    async def _malformed(self) -> None:
+    async def _send_malformed_requests(self) -> None:
         cluster = await base.small(self.folder, max_body_bytes=200_000)
         async with cluster:
             await cluster.chat(
@@ -135,17 +137,17 @@
                 (
                     "POST",
                     chat,
-                    _body(messages=[{"role": "user", "content": 3}]),
+                    _chat_body(messages=[{"role": "user", "content": 3}]),
                 ),
-                ("POST", chat, _body(max_tokens=-1)),
-                ("POST", chat, _body(max_tokens="many")),
-                ("POST", chat, _body(max_tokens=10**30)),
-                ("POST", chat, _body(model="b" * 10_000)),
-                ("POST", chat, _body(messages=[base.user("x" * 300_000)])),
+                ("POST", chat, _chat_body(max_tokens=-1)),
+                ("POST", chat, _chat_body(max_tokens="many")),
+                ("POST", chat, _chat_body(max_tokens=10**30)),
+                ("POST", chat, _chat_body(model="b" * 10_000)),
+                ("POST", chat, _chat_body(messages=[base.user("x" * 300_000)])),
                 ("POST", chat, b"[" * 100_000),
-                ("POST", chat, _body(tools=[]) + b"x"),
-                ("POST", chat, _RAW % b'"\\ud800"'),
-                ("POST", chat, _RAW % (b"[" * 5_000 + b"]" * 5_000)),
+                ("POST", chat, _chat_body(tools=[]) + b"x"),
+                ("POST", chat, _CHAT_BODY % b'"\\ud800"'),
+                ("POST", chat, _CHAT_BODY % (b"[" * 5_000 + b"]" * 5_000)),
                 ("GET", chat, b""),
                 ("POST", "/v1/nothing", b"{}"),
                 ("POST", "/v1/services/unknown/x", b"{}"),
@@ -155,17 +157,21 @@
             ]
             pids = [p.pid for p in cluster.processes.values()]
             for method, path, body in cases:
-                await self._refused(cluster, "ruegg", method, path, body)
-            await self._refused(cluster, "kunci", "GET", "/v1/programs/mine")
-            await self._refused(cluster, "kunci", "DELETE", "/v1/programs/mine")
+                await self._check_refused(cluster, "ruegg", method, path, body)
+            await self._check_refused(
+                cluster, "kunci", "GET", "/v1/programs/mine"
+            )
+            await self._check_refused(
+                cluster, "kunci", "DELETE", "/v1/programs/mine"
+            )
             reply = await cluster.chat("entry-1", "berater", [base.user("y")])
             self.assertEqual(200, reply.status)
             self.assertEqual(pids, [p.pid for p in cluster.processes.values()])
             seen = (await cluster.look("engine-1"))["seen"]
-            asked = {one["messages"][0]["content"] for one in seen}
-            self.assertEqual({"probe", "x", "y"}, asked)
+            prompts_seen = {one["messages"][0]["content"] for one in seen}
+            self.assertEqual({"probe", "x", "y"}, prompts_seen)
 
-    async def _refused(
+    async def _check_refused(
         self,
         cluster: base.Cluster,
         account: str,
@@ -178,21 +184,22 @@
         async with cluster.http.request(
             method, url, data=body, headers=auth
         ) as resp:
-            shown = f"{method} {path[:40]} {body[:60]!r}: {resp.status}"
-            self.assertTrue(400 <= resp.status < 500, shown)
+            request_text = f"{method} {path[:40]} {body[:60]!r}: {resp.status}"
+            self.assertTrue(400 <= resp.status < 500, request_text)
             self.assertEqual("not-run", resp.headers["Catkinpin-Verdict"])
             error = (await resp.json())["error"]
-            self.assertTrue(error["message"], shown)
-            self.assertTrue(error["code"], shown)
+            self.assertTrue(error["message"], request_text)
+            self.assertTrue(error["code"], request_text)
 
     def test_only_new_messages_are_sent(self) -> None:
-        """A caller that keeps no history sends new messages only.
+        """Guards against an incomplete prompt for callers without a history.
 
-        The engine gets the whole of it, in order.
+        A caller sends only new messages. The engine must get the complete
+        history in order.
         """
-        self.run_async(self._only_new())
+        self.run_async(self._send_new_messages_only())
 
-    async def _only_new(self) -> None:
+    async def _send_new_messages_only(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             headers = {"Catkinpin-Program": "p", "Catkinpin-History": "new"}
@@ -206,14 +213,14 @@
                 answers.append(message["content"])
             seen = (await cluster.look("engine-1"))["seen"][-1]["messages"]
             texts = [message["content"] for message in seen]
-            wanted = ["one", answers[0], "two", answers[1], "three"]
-            self.assertEqual(wanted, texts)
+            expected = ["one", answers[0], "two", answers[1], "three"]
+            self.assertEqual(expected, texts)
 
     def test_spans_join_from_caller_to_server(self) -> None:
-        """An operator follows one call from its caller to the engine."""
-        self.run_async(self._spans())
+        """Guards against spans of one call that do not join into a trace."""
+        self.run_async(self._check_spans())
 
-    async def _spans(self) -> None:
+    async def _check_spans(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             trace = "4bf92f3577b34da6a3ce929d0e0e4736"
@@ -227,17 +234,17 @@
             for span in map(json.loads, lines):
                 if span["context"]["trace_id"] == f"0x{trace}":
                     spans[span["name"]] = span
-            wanted = {"call", "begin", "leader.begin", "dispatch", "finish"}
-            self.assertEqual(wanted, wanted & set(spans))
+            expected = {"call", "begin", "leader.begin", "dispatch", "finish"}
+            self.assertEqual(expected, expected & set(spans))
             self.assertEqual("0x00f067aa0ba902b7", spans["call"]["parent_id"])
             server_parent = seen["traceparent"].split("-")[2]
             dispatch = spans["dispatch"]["context"]["span_id"]
             self.assertEqual(f"0x{server_parent}", dispatch)
 
     def test_history_conflict_names_the_first_message(self) -> None:
-        self.run_async(self._conflict())
+        self.run_async(self._check_conflict())
 
-    async def _conflict(self) -> None:
+    async def _check_conflict(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             headers = {"Catkinpin-Program": "p"}
@@ -254,9 +261,9 @@
             self.assertIn("messages[0]", reply.json["error"]["message"])
 
     def test_accounts_are_kept_apart(self) -> None:
-        self.run_async(self._accounts())
+        self.run_async(self._check_account_isolation())
 
-    async def _accounts(self) -> None:
+    async def _check_account_isolation(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             headers = {"Catkinpin-Program": "mine"}
@@ -272,13 +279,14 @@
                 self.assertEqual(401, resp.status)
 
     def test_state_outlives_a_killed_replica(self) -> None:
-        """The replica's process is killed and started again on its disk.
+        """Guards against losing answers when a replica's process is killed.
 
-        A caller that resends gets the stored answer; nothing runs twice.
+        The replica restarts with its disk. A resent request gets the stored
+        answer and does not run again.
         """
-        self.run_async(self._killed_replica())
+        self.run_async(self._kill_replica())
 
-    async def _killed_replica(self) -> None:
+    async def _kill_replica(self) -> None:
         cluster = await base.small(self.folder)
         async with cluster:
             headers = {"Idempotency-Key": "once"}
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -1,4 +1,4 @@
-"""An entry's streams to the replicas, against stand-ins of replicas."""
+"""An entry's connections to the replicas, tested with fake replicas."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 from tests import base
 
 _GROUP = "shard-0"
-_SOON_S = 2.0
+_TIMEOUT_S = 2.0
 _KEY = messages.ProgramKey(account="ruegg", program="p")
 
 
-class Replica:
-    """A stand-in: says who leads, and answers where it is told to."""
+class FakeReplica:
+    """A fake replica that announces leaders.
+
+    Args:
+        answers: whether it answers requests for programs.
+    """
 
     def __init__(self, *, answers: bool) -> None:
         self._answers = answers
-        self.asked = asyncio.Event()
+        self.received_ask = asyncio.Event()
         self.server = links.PeerServer(
             wire.ToReplica, self._handle, lambda _: None
         )
@@ -31,15 +35,17 @@
         self.address = await self.server.start("127.0.0.1:0")
 
     def announce(self, leader: str, term: int) -> None:
-        """Tells every entry who leads."""
-        news = messages.GroupLeader(group=_GROUP, term=term, leader=leader)
+        """Announces the group's leader to all connected entries."""
+        announcement = messages.GroupLeader(
+            group=_GROUP, term=term, leader=leader
+        )
         for stream in self.server.streams:
-            stream.send(news)
+            stream.send(announcement)
 
     def _handle(self, stream: links.Stream, message: Any) -> None:
         if not isinstance(message, messages.GetProgram):
             return
-        self.asked.set()
+        self.received_ask.set()
         if self._answers:
             stream.send(
                 messages.ProgramInfo(
@@ -56,18 +62,19 @@
 
 
 class ReplicasTest(base.TestCase):
-    """Asking the leader while leadership moves."""
+    """Requests to a leader that changes."""
 
     def test_ask_moves_on_when_another_replica_leads(self) -> None:
-        """A leader is cut off from the other replicas but not from entries.
+        """Guards against waiting for a leader that has been replaced.
 
-        It can commit nothing more, and its streams stay up. A caller must get
-        the answer of the next leader, and not wait for its deadline.
+        The leader is partitioned from the other replicas, but not from the
+        entries. It can't commit, and its connections stay open. The caller must
+        get the next leader's answer and not wait until its deadline.
         """
-        self.run_async(self._moved())
+        self.run_async(self._check_moved_leader())
 
-    async def _moved(self) -> None:
-        old, new = Replica(answers=False), Replica(answers=True)
+    async def _check_moved_leader(self) -> None:
+        old, new = FakeReplica(answers=False), FakeReplica(answers=True)
         await old.start()
         await new.start()
         hello = messages.Hello(
@@ -83,26 +90,26 @@
         )
         replicas.start()
         try:
-            await self._ask_while_moving(replicas, old, new)
+            await self._ask_during_change(replicas, old, new)
         finally:
             await replicas.stop()
             await old.server.stop()
             await new.server.stop()
 
-    async def _ask_while_moving(
-        self, replicas: shards.Replicas, old: Replica, new: Replica
+    async def _ask_during_change(
+        self, replicas: shards.Replicas, old: FakeReplica, new: FakeReplica
     ) -> None:
         for link in replicas.links.values():
-            await asyncio.wait_for(link.connected.wait(), _SOON_S)
+            await asyncio.wait_for(link.connected.wait(), _TIMEOUT_S)
         old.announce(old.address, term=1)
-        asking = asyncio.create_task(
+        ask_task = asyncio.create_task(
             replicas.ask(
                 _GROUP,
                 lambda ask: messages.GetProgram(ask=ask, key=_KEY),
                 timeout_s=30.0,
             )
         )
-        await asyncio.wait_for(old.asked.wait(), _SOON_S)
+        await asyncio.wait_for(old.received_ask.wait(), _TIMEOUT_S)
         new.announce(new.address, term=2)
-        info = await asyncio.wait_for(asking, _SOON_S)
+        info = await asyncio.wait_for(ask_task, _TIMEOUT_S)
         self.assertEqual(7, info.next_seq)
