--- a/catkinpin/adapters/entry/callers.py
+++ b/catkinpin/adapters/entry/callers.py
@@ -361,7 +361,7 @@
         if resp is None and not held_back:
             held_back = [
                 json.dumps(chunk).encode()
-                for chunk in chat.chunks_of(final.answer.body)
+                for chunk in chat.completion_chunks(final.answer.body)
             ]
         resp = resp or await _start_stream(req, begin)
         for data in held_back:
--- a/catkinpin/adapters/entry/configured.py
+++ b/catkinpin/adapters/entry/configured.py
@@ -59,7 +59,7 @@
             account.key_sha256: account.name
             for account in cfg.accounts.values()
         }
-        metrics.REVISION.set(update.revision)
+        metrics.CONFIGURATION_REVISION.set(update.revision)
         return True
 
 
--- a/catkinpin/adapters/entry/dispatch.py
+++ b/catkinpin/adapters/entry/dispatch.py
@@ -144,10 +144,10 @@
         run_attempt: Callable[[dict[str, str]], Awaitable[Finish]],
     ) -> Finish:
         """Runs an attempt in a tracing span, until its deadline at most."""
-        with tracing.hop(name, req.traceparent) as hop:
-            hop.note("attempt", grant.attempt)
-            hop.note("server", grant.server.server)
-            headers = _request_headers(grant, req, hop.traceparent)
+        with tracing.span(name, req.traceparent) as span:
+            span.note("attempt", grant.attempt)
+            span.note("server", grant.server.server)
+            headers = _request_headers(grant, req, span.traceparent)
             try:
                 async with asyncio.timeout(req.deadline_ms / _MS_PER_S):
                     finish = await run_attempt(headers)
@@ -160,7 +160,7 @@
                     Reason.SERVER_FAILED,
                     f"{grant.server.server}: {type(exc).__name__}",
                 )
-            hop.note("verdict", finish.verdict)
+            span.note("verdict", finish.verdict)
         is_unknown = finish.verdict is Verdict.MAY_HAVE_RUN
         if is_unknown and req.kind == "model":
             self._cancel_attempt(grant)
--- a/catkinpin/adapters/entry/modelcalls.py
+++ b/catkinpin/adapters/entry/modelcalls.py
@@ -62,7 +62,7 @@
         self._gap_estimator = gap_estimator
         self._first_event_timeout_s = first_event_timeout_s
         self._on_data = on_data
-        self._assembler = chat.Assembler()
+        self._assembler = chat.StreamAssembler()
         self._offset = 0
         self._skipped_events = 0
         self._event_count = 0
@@ -97,7 +97,7 @@
         began = _now()
         while True:
             offset_before = self._offset
-            if broken.silent:
+            if broken.timed_out:
                 metrics.RETIRED_CONNECTIONS.labels("model").inc()
             try:
                 return await self._read_stream(
@@ -107,7 +107,7 @@
                 return self._server_failed(str(broken), crashed=True)
             except BrokenStreamError as exc:
                 broken = exc
-            if broken.gone:
+            if broken.incarnation_ended:
                 return self._server_failed(str(broken), crashed=True)
             empty_resumes = (
                 0 if self._offset > offset_before else empty_resumes + 1
@@ -117,7 +117,7 @@
                 and _now() - began < self._first_event_timeout_s
             )
             if empty_resumes >= _MAX_EMPTY_RESUMES and not (
-                may_still_start and broken.silent
+                may_still_start and broken.timed_out
             ):
                 return self._server_failed(str(broken), crashed=False)
 
@@ -183,7 +183,7 @@
                 raise BrokenStreamError("the stream ended early")
         except TimeoutError as exc:
             raise BrokenStreamError(
-                "the stream went silent", silent=True
+                "the stream went silent", timed_out=True
             ) from exc
         except backends.CONNECT_ERRORS:
             raise
@@ -208,7 +208,9 @@
             text = backends.error_text(await resp.read())
             return outcomes.not_run(self._grant, Reason.SERVER_REFUSED, text)
         if backends.is_other_incarnation(self._grant, resp) and not is_first:
-            raise BrokenStreamError("the server was restarted", gone=True)
+            raise BrokenStreamError(
+                "the server was restarted", incarnation_ended=True
+            )
         if resp.status == outcomes.STATUS_OK:
             return None
         if is_first and resp.status in _FINAL_STATUSES:
--- a/catkinpin/adapters/entry/outcomes.py
+++ b/catkinpin/adapters/entry/outcomes.py
@@ -41,7 +41,7 @@
     )
 
 
-def ran_stream(grant: Granted, assembler: chat.Assembler) -> Finish:
+def ran_stream(grant: Granted, assembler: chat.StreamAssembler) -> Finish:
     """Returns the outcome of a model call whose stream is complete."""
     answer = Answer(
         status=STATUS_OK,
--- a/catkinpin/adapters/entry/relays.py
+++ b/catkinpin/adapters/entry/relays.py
@@ -139,9 +139,9 @@
     ) -> Any:
         body = req.body
         if history.known_count:
-            body = chat.without_messages(body, history.known_count)
+            body = chat.without_first_messages(body, history.known_count)
         message = messages.Dispatch(
-            ask=links.next_ask(),
+            ask=links.next_ask_id(),
             grant=msgspec.structs.replace(grant, history=[]),
             kind=req.kind,
             method=req.method,
@@ -193,7 +193,7 @@
                 return
             prompt = [*cached, *chat.raw_messages(body)]
             body = chat.with_messages(body, prompt)
-        grant = streams.received_grant(message.grant, stream)
+        grant = streams.with_local_expiry(message.grant, stream)
         if self._dispatcher.grants.knows(grant.attempt):
             metrics.DROPPED_ANSWERS.inc()
             return
@@ -220,7 +220,7 @@
         if not base:
             return []
         cached = self._history_cache.get(base)
-        metrics.RELAY_CACHE.labels("hit" if cached else "miss").inc()
+        metrics.RELAY_CACHE_RESULTS.labels("hit" if cached else "miss").inc()
         return cached
 
     async def _dispatch(
@@ -256,7 +256,7 @@
         """Returns an outcome with the request's new messages added."""
         if not finish.messages:
             return finish
-        new = [chat.canonical_raw(message) for message in prompt[skip:]]
+        new = [chat.canonical_from_json(message) for message in prompt[skip:]]
         return msgspec.structs.replace(
             finish, messages=[*new, *finish.messages]
         )
--- a/catkinpin/adapters/http/server.py
+++ b/catkinpin/adapters/http/server.py
@@ -174,7 +174,7 @@
         """Starts to listen; returns the address with the actual port."""
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
-        sock = listening.claim(address)
+        sock = listening.claim_socket(address)
         if sock is not None:
             self._server = await loop.create_server(
                 lambda: Connection(self), sock=sock, backlog=listening.BACKLOG
--- a/catkinpin/joined.py
+++ b/catkinpin/joined.py
@@ -1,9 +1,9 @@
-"""Decision lines of many processes, joined around one request.
+"""Finds the decision lines of all processes that relate to one request.
 
-Each process writes what it decided; a failure's cause is mostly in another
-process's lines than the request's own. So the lines that touch the request's
-program, the servers that it was sent to and the leaders of the time go with
-it, in the order of their times.
+Each process logs its decisions. The cause of a failure is usually not in the
+request's own lines, but in those of another process. So the lines about the
+request's program, about the servers that it was sent to and about the leaders
+at that time are listed with it, ordered by time.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Lines about servers, leaders and processes count so long around a request.
-# An ejection lasts up to 6 s, a server is missed after 15 s.
-NEAR_MS = 15_000
-# Decisions about the whole system rather than one request.
-_SYSTEM = frozenset(
+# Lines about servers, leaders and processes are included if they are at most
+# this far from the request. An ejection lasts up to 6 s, and the absence of a
+# server is noticed after 15 s.
+RELATED_WINDOW_MS = 15_000
+# Decisions that concern the whole system and not a single request.
+_SYSTEM_DECISIONS = frozenset(
     {
         "start",
         "stop",
@@ -38,86 +39,88 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Line:
-    """One decision.
+class DecisionLine:
+    """A logged decision.
 
     Attributes:
-        at_ms: Unix time at the process that wrote it.
-        process: who wrote it.
-        decision: what was decided.
-        facts: everything else that it says.
+        at_ms: Unix time by the clock of the process that wrote the line.
+        process: name of the process that wrote the line.
+        decision: the kind of decision.
+        fields: all other fields of the line.
     """
 
     at_ms: int
     process: str
     decision: str
-    facts: dict[str, Any]
+    fields: dict[str, Any]
 
     @property
     def servers(self) -> list[str]:
-        """The servers that it names."""
-        named = self.facts.get("servers") or [self.facts.get("server")]
-        return [one for one in named if one]
+        """Names of the servers that the line mentions."""
+        values = self.fields.get("servers") or [self.fields.get("server")]
+        return [server for server in values if server]
 
 
 @dataclasses.dataclass
-class Story:
-    """What is known of one request.
+class RequestReport:
+    """The lines that relate to one request, each list ordered by time.
 
     Attributes:
-        request: its own lines.
-        program: lines of its program's other requests.
-        servers: lines about the servers that it was sent to, near it.
-        system: lines about processes, leaders and routes, near it.
+        request: the request's own lines.
+        program: lines of other requests of its program.
+        servers: lines about the servers that the request was sent to, within
+            RELATED_WINDOW_MS of it.
+        system: lines about processes, leaders and routes, within
+            RELATED_WINDOW_MS of the request.
     """
 
-    request: list[Line] = dataclasses.field(default_factory=list)
-    program: list[Line] = dataclasses.field(default_factory=list)
-    servers: list[Line] = dataclasses.field(default_factory=list)
-    system: list[Line] = dataclasses.field(default_factory=list)
+    request: list[DecisionLine] = dataclasses.field(default_factory=list)
+    program: list[DecisionLine] = dataclasses.field(default_factory=list)
+    servers: list[DecisionLine] = dataclasses.field(default_factory=list)
+    system: list[DecisionLine] = dataclasses.field(default_factory=list)
 
 
-def parse(text: str) -> Line | None:
-    """Returns a decision line; None for whatever else a process wrote.
+def parse(text: str) -> DecisionLine | None:
+    """Returns the decision in a line of output, None if there is none.
 
-    A collector may have put a prefix before the JSON object.
+    A log collector may have added a prefix before the JSON object.
     """
     start = text.find("{")
     if start < 0:
         return None
     try:
-        facts = json.loads(text[start:])
-        return Line(
-            at_ms=int(facts.pop("at_ms")),
-            process=str(facts.pop("process")),
-            decision=str(facts.pop("decision")),
-            facts=facts,
+        fields = json.loads(text[start:])
+        return DecisionLine(
+            at_ms=int(fields.pop("at_ms")),
+            process=str(fields.pop("process")),
+            decision=str(fields.pop("decision")),
+            fields=fields,
         )
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
 
 
-def join(lines: Iterable[Line], request: str) -> Story:
-    """Returns what the lines tell about a request, each part by time."""
+def join(lines: Iterable[DecisionLine], request: str) -> RequestReport:
+    """Returns the lines that relate to a request."""
     ordered = sorted(lines, key=lambda line: line.at_ms)
-    own = [ln for ln in ordered if ln.facts.get("request") == request]
-    story = Story(request=own)
+    own = [ln for ln in ordered if ln.fields.get("request") == request]
+    report = RequestReport(request=own)
     if not own:
-        return story
-    programs = {ln.facts["program"] for ln in own if ln.facts.get("program")}
+        return report
+    programs = {ln.fields["program"] for ln in own if ln.fields.get("program")}
     servers = {name for ln in own for name in ln.servers}
-    took_ms = max(int(ln.facts.get("took_ms", 0)) for ln in own)
-    first_ms = own[0].at_ms - took_ms - NEAR_MS
-    last_ms = own[-1].at_ms + NEAR_MS
+    duration_ms = max(int(ln.fields.get("took_ms", 0)) for ln in own)
+    first_ms = own[0].at_ms - duration_ms - RELATED_WINDOW_MS
+    last_ms = own[-1].at_ms + RELATED_WINDOW_MS
     for line in ordered:
-        if line.facts.get("request") == request:
+        if line.fields.get("request") == request:
             continue
-        if line.facts.get("program") in programs:
-            story.program.append(line)
+        if line.fields.get("program") in programs:
+            report.program.append(line)
         elif not first_ms <= line.at_ms <= last_ms:
             continue
-        elif "request" not in line.facts and servers & set(line.servers):
-            story.servers.append(line)
-        elif line.decision in _SYSTEM:
-            story.system.append(line)
-    return story
+        elif "request" not in line.fields and servers & set(line.servers):
+            report.servers.append(line)
+        elif line.decision in _SYSTEM_DECISIONS:
+            report.system.append(line)
+    return report
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,24 +1,24 @@
-"""Work in the background."""
+"""Tests background tasks."""
 
 from __future__ import annotations
 
 import asyncio
 
-from catkinpin.adapters.tasks import Tasks
+from catkinpin.adapters.tasks import BackgroundTasks
 from tests import base
 
 
 class TasksTest(base.TestCase):
-    """What becomes of work that nobody waits for."""
+    """Tasks that nothing awaits."""
 
     def test_failure_is_written_to_the_log(self) -> None:
-        """A background task fails: nobody awaits it, so nobody would know."""
+        """Guards against failures that go unnoticed as nothing awaits them."""
 
         async def fails() -> None:
             raise ValueError("broken")
 
         async def main() -> None:
-            tasks = Tasks()
+            tasks = BackgroundTasks()
             tasks.spawn(fails())
             self.assertEqual(1, len(tasks))
             await asyncio.sleep(0)
@@ -31,7 +31,7 @@
 
     def test_cancelled_work_is_no_failure(self) -> None:
         async def main() -> None:
-            tasks = Tasks()
+            tasks = BackgroundTasks()
             waiting = tasks.spawn(asyncio.sleep(60))
             await asyncio.sleep(0)
             tasks.cancel()
