--- a/catkinpin/adapters/gateway/answers.py
+++ b/catkinpin/adapters/gateway/answers.py
@@ -11,7 +11,7 @@
     from catkinpin.adapters.gateway.headers import HeaderCodec
     from catkinpin.adapters.gateway.view import GatewayView
     from catkinpin.adapters.gateway.work import OpenCall
-    from catkinpin.adapters.http.client import Head
+    from catkinpin.adapters.http.client import ResponseHead
     from catkinpin.adapters.http.server import Responder
     from catkinpin.clock import Clock
     from catkinpin.core.requests.calls import RouteCall
@@ -39,7 +39,9 @@
         self._codec = codec
         self._clock = clock
 
-    def start(self, state: OpenCall, head: Head, length: int | None) -> bool:
+    def start(
+        self, state: OpenCall, head: ResponseHead, length: int | None
+    ) -> bool:
         """Starts the answer with a server's head, if it may be forwarded.
 
         Returns:
--- a/catkinpin/adapters/gateway/exchange.py
+++ b/catkinpin/adapters/gateway/exchange.py
@@ -14,7 +14,7 @@
 from catkinpin.adapters.gateway.crashes import CrashReporter
 from catkinpin.adapters.gateway.headers import ForwardingFields
 from catkinpin.adapters.gateway.timings import AnswerTimes
-from catkinpin.adapters.http.client import ANY_IDLE_S, Failure
+from catkinpin.adapters.http.client import DEFAULT_MAX_IDLE_S, Failure
 from catkinpin.core.control.servers import ServerState
 from catkinpin.core.placement import unresponsive, urgency
 from catkinpin.verdicts import Verdict
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from catkinpin.adapters.gateway.context import GatewayContext
     from catkinpin.adapters.gateway.work import OpenCall
-    from catkinpin.adapters.http.client import Head, ServerConnection
+    from catkinpin.adapters.http.client import ResponseHead, ServerConnection
     from catkinpin.adapters.http.headers import Headers
     from catkinpin.core.placement.balance import Choice
     from catkinpin.core.requests.calls import Load
@@ -111,7 +111,7 @@
 
     async def send(
         self, state: OpenCall, choice: Choice, body: bytes, resume_at: str = ""
-    ) -> tuple[ServerConnection, Head] | Failure:
+    ) -> tuple[ServerConnection, ResponseHead] | Failure:
         """Sends a request to a server and reads the head of its answer."""
         instance = choice.instance
         state.tried_servers.append(instance.id)
@@ -119,7 +119,9 @@
             instance.address,
             self._max_connections(state),
             _CONNECT_TIMEOUT_S,
-            ANY_IDLE_S if state.is_repeatable else _NON_REPEATABLE_MAX_IDLE_S,
+            DEFAULT_MAX_IDLE_S
+            if state.is_repeatable
+            else _NON_REPEATABLE_MAX_IDLE_S,
         )
         if isinstance(conn, Failure):
             state.reason = conn.reason
@@ -158,19 +160,19 @@
         self._record_head(state, choice, head)
         return conn, head
 
-    def is_refusal(self, head: Head) -> bool:
+    def is_refusal(self, head: ResponseHead) -> bool:
         """Returns whether a server states that it did not run the request."""
         return self._codec.decode_answer(head.headers).not_run
 
     def close(self, choice: Choice, conn: ServerConnection) -> None:
         """Ends an exchange; closes the connection if it is not complete."""
         conn.finish(asyncio.get_running_loop().time())
-        self._pool.give_back(choice.instance.address, conn)
+        self._pool.release(choice.instance.address, conn)
         self._balancer.record_ended(choice.instance)
 
     async def discard_rest(self, conn: ServerConnection) -> None:
         """Discards the rest of a short answer to keep the connection usable."""
-        while isinstance(await conn.chunk(), bytes):
+        while isinstance(await conn.read_chunk(), bytes):
             pass
 
     def record_success(self, state: OpenCall, choice: Choice) -> None:
@@ -255,10 +257,12 @@
         )
         if isinstance(conn, Failure):
             return False
-        self._pool.give_back(address, conn)
+        self._pool.release(address, conn)
         return True
 
-    def _record_head(self, state: OpenCall, choice: Choice, head: Head) -> None:
+    def _record_head(
+        self, state: OpenCall, choice: Choice, head: ResponseHead
+    ) -> None:
         facts = self._codec.decode_answer(head.headers)
         load = self._record_load(state, choice, facts.load)
         state.answer_times.record_head(asyncio.get_running_loop().time(), load)
@@ -292,16 +296,16 @@
 
     async def _read_head(
         self, state: OpenCall, conn: ServerConnection
-    ) -> Head | Failure:
+    ) -> ResponseHead | Failure:
         if not state.may_switch_server:
-            return await conn.head()
+            return await conn.read_head()
         timeout_s = max(
             _MIN_HEAD_TIMEOUT_S,
             _HEAD_TIMEOUT_FACTOR * state.route.target_ms / _MS_PER_S,
         )
         try:
             async with asyncio.timeout(timeout_s):
-                return await conn.head()
+                return await conn.read_head()
         except TimeoutError:
             return Failure(Verdict.MAY_HAVE_RUN, "silent for too long")
 
@@ -311,7 +315,7 @@
         facts = self._codec.decode_answer(headers)
         if facts.attempt:
             return facts.attempt == state.call.attempt
-        return facts.not_run and conn.is_fresh
+        return facts.not_run and conn.is_first_exchange
 
     def _encode_request(
         self, state: OpenCall, choice: Choice, body: bytes, resume_at: str
--- a/catkinpin/adapters/gateway/plain.py
+++ b/catkinpin/adapters/gateway/plain.py
@@ -12,7 +12,7 @@
     from catkinpin.adapters.gateway.answers import AnswerWriter
     from catkinpin.adapters.gateway.exchange import Exchange
     from catkinpin.adapters.gateway.work import OpenCall
-    from catkinpin.adapters.http.client import Head, ServerConnection
+    from catkinpin.adapters.http.client import ResponseHead, ServerConnection
     from catkinpin.core.placement.balance import Choice
 
 # Share of the remaining time for an attempt after which another may follow.
@@ -99,13 +99,13 @@
         state: OpenCall,
         choice: Choice,
         conn: ServerConnection,
-        head: Head,
+        head: ResponseHead,
     ) -> bool:
         """Forwards an answer; returns whether the caller was answered."""
         buffered: list[bytes] = []
         size = 0
         started = False
-        while (data := await conn.chunk()) is not None:
+        while (data := await conn.read_chunk()) is not None:
             if isinstance(data, Failure):
                 state.verdict = Verdict.MAY_HAVE_RUN
                 state.reason = data.reason
--- a/catkinpin/adapters/gateway/process.py
+++ b/catkinpin/adapters/gateway/process.py
@@ -128,7 +128,7 @@
 
     async def stop(self) -> None:
         """Waits for the load balancer, finishes open requests and closes."""
-        decisions.note("stop", "", in_flight=self.server.busy())
+        decisions.note("stop", "", in_flight=self.server.count_busy())
         self._stopping = True
         loop = asyncio.get_running_loop()
         deadline_s = (
@@ -141,12 +141,12 @@
         await asyncio.sleep(self.cfg.balancer_wait_ms / _MS_PER_S)
         self._handler.stop_deadline_s = deadline_s
         while loop.time() < deadline_s and (
-            self.server.busy() or self._turns.unsettled_count
+            self.server.count_busy() or self._turns.unsettled_count
         ):
             self.server.close_idle()
             await asyncio.sleep(_TICK_INTERVAL_S)
         self.server.close_idle()
-        decisions.note("stopped", "", cut=self.server.busy())
+        decisions.note("stopped", "", cut=self.server.count_busy())
         await self.server.stop()
         await self._readiness_server.stop()
         for task in self._tasks:
--- a/catkinpin/adapters/gateway/serving.py
+++ b/catkinpin/adapters/gateway/serving.py
@@ -78,7 +78,7 @@
         """Serves one request; cancels that if the caller disconnects."""
         call = self._codec.decode_request(request.headers)
         serving = asyncio.ensure_future(self._serve(request, responder, call))
-        disconnected = asyncio.ensure_future(request.gone.wait())
+        disconnected = asyncio.ensure_future(request.disconnected.wait())
         await asyncio.wait(
             {serving, disconnected}, return_when=asyncio.FIRST_COMPLETED
         )
--- a/catkinpin/adapters/gateway/streaming.py
+++ b/catkinpin/adapters/gateway/streaming.py
@@ -27,7 +27,7 @@
     from catkinpin.adapters.gateway.exchange import Exchange
     from catkinpin.adapters.gateway.plain import PlainForwarder
     from catkinpin.adapters.gateway.work import OpenCall
-    from catkinpin.adapters.http.client import Head, ServerConnection
+    from catkinpin.adapters.http.client import ResponseHead, ServerConnection
     from catkinpin.core.placement.balance import Choice
 
 _MS_PER_S = 1_000
@@ -225,7 +225,7 @@
         state: OpenCall,
         choice: Choice,
         conn: ServerConnection,
-        head: Head,
+        head: ResponseHead,
         forwarded: _Forwarded,
     ) -> _AttemptEnd:
         if head.status >= 300:
@@ -310,7 +310,7 @@
         return TurnResult(state.tokens, state.executed_on, lost_ms, report)
 
     async def _may_try_another(self, state: OpenCall, choice: Choice) -> bool:
-        if not state.route.resumable or state.responder.is_gone:
+        if not state.route.resumable or state.responder.is_disconnected:
             return False
         if state.run_count < state.route.max_attempts:
             return True
@@ -325,12 +325,12 @@
     state: OpenCall, conn: ServerConnection
 ) -> bytes | Failure | None:
     if not state.may_switch_server:
-        return await conn.chunk()
+        return await conn.read_chunk()
     timeout_s = max(
         _MIN_SILENCE_S, _SILENCE_FACTOR * state.route.target_ms / _MS_PER_S
     )
     try:
         async with asyncio.timeout(timeout_s):
-            return await conn.chunk()
+            return await conn.read_chunk()
     except TimeoutError:
         return Failure(Verdict.MAY_HAVE_RUN, "silent for too long")
--- a/catkinpin/adapters/replica/process.py
+++ b/catkinpin/adapters/replica/process.py
@@ -138,7 +138,7 @@
         """Applies a new configuration to the shards and the lease."""
         for host in self.shards.values():
             host.set_configuration(cfg)
-        self.lease.changed()
+        self.lease.renew_now()
 
     def _create_lease(self) -> None:
         """Creates the lease that lets this replica use its configuration.
--- a/catkinpin/core/requests/calls.py
+++ b/catkinpin/core/requests/calls.py
@@ -81,7 +81,7 @@
     Attributes:
         attempt: ID of the request that it answers, empty if it names none.
         is_sealed: Whether the answer has the header by which the server vouches
-            for it, `X-Response-Seal`.
+            for it.
         not_run: Whether the server declares that it did not run the request.
         load: Load that the server reports, None if it reports none.
     """
