--- a/catkinpin/adapters/entry/admin.py
+++ b/catkinpin/adapters/entry/admin.py
@@ -26,7 +26,18 @@
 
 
 class Announcement(pydantic.BaseModel):
-    """A backend server's announcement of itself; see docs/user/servers.md."""
+    """A backend server's announcement of itself; see docs/user/servers.md.
+
+    Attributes:
+        capacity: number of requests it can run at the same time.
+        cache_tokens: size of its prefix cache in tokens; 0 without a cache.
+        running: number of requests it is running.
+        waiting: number of requests in its queue.
+        leaving: whether it asks for no new work.
+        honours_fencing: whether it refuses orders with an old fencing token.
+        checks_sender: whether it verifies the identity of an order's sender.
+        held: ids of programs whose prefixes its cache holds.
+    """
 
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
 
--- a/catkinpin/adapters/entry/backends.py
+++ b/catkinpin/adapters/entry/backends.py
@@ -204,7 +204,7 @@
 
 
 def error_text(body: bytes) -> str:
-    """Returns the text of a server's error, parsed as JSON if possible."""
+    """Returns the error message in a server's answer, if possible from JSON."""
     try:
         return str(json.loads(body)["error"])[:500]
     except (ValueError, KeyError, TypeError):
--- a/catkinpin/adapters/entry/configured.py
+++ b/catkinpin/adapters/entry/configured.py
@@ -1,4 +1,4 @@
-"""The configuration that a process serves with, and the lease to serve."""
+"""The configuration that a process uses, and the lease that confirms it."""
 
 from __future__ import annotations
 
@@ -40,10 +40,14 @@
         self.accounts: dict[str, str] = {}
 
     def apply_update(self, update: changes.ConfigUpdate) -> bool:
-        """Applies an update; returns False if it does not follow the revision.
+        """Applies an update, unless it is out of date or leaves a gap.
 
         A late update may have an older revision than the current one. Applying
-        it would make a withdrawn key or budget valid again.
+        it would make a withdrawn key or budget valid again. An update whose
+        base is newer than the current revision lacks the changes in between.
+
+        Returns:
+            Whether the update was applied.
         """
         if update.revision <= self.revision or update.base > self.revision:
             return False
@@ -76,7 +80,8 @@
         replicas: connections to the replicas.
         clock: source of time.
         revision: returns the revision that this process serves with.
-        apply_update: called with updates; None if they arrive another way.
+        apply_update: called with updates; None if this process
+            receives updates in another way.
     """
 
     def __init__(
@@ -102,7 +107,10 @@
         return ""
 
     def renew_now(self) -> None:
-        """Renews the lease at once, because the revision has changed."""
+        """Makes `run` renew the lease now, not after its usual pause.
+
+        The process calls this when its configuration's revision has changed.
+        """
         self._renewal_requested.set()
 
     async def run(self) -> None:
--- a/catkinpin/adapters/entry/dispatch.py
+++ b/catkinpin/adapters/entry/dispatch.py
@@ -112,9 +112,9 @@
     ) -> Finish:
         """Continues an attempt that another process sent or may have sent.
 
-        That process may still send the request later. A server's answer that
-        the attempt did not run is safe all the same, because the server then
-        refuses the attempt from that time on (docs/user/servers.md).
+        That process may still send the request later. If the server answers
+        that the attempt did not run, it refuses the attempt from then on
+        (docs/user/servers.md), so the answer stays true.
 
         Args:
             grant: the grant that was used for the attempt.
--- a/catkinpin/adapters/entry/modelcalls.py
+++ b/catkinpin/adapters/entry/modelcalls.py
@@ -66,6 +66,8 @@
         self._offset = 0
         self._skipped_events = 0
         self._event_count = 0
+        # Events after the last token, such as the finish reason: number
+        # received, and number that a resumed stream will repeat.
         self._trailing_count = 0
         self._trailing_to_skip = 0
         self._last_token_s = 0.0
--- a/catkinpin/adapters/entry/operators.py
+++ b/catkinpin/adapters/entry/operators.py
@@ -191,6 +191,7 @@
 async def _lift_quarantine(
     entry: EntryContext, req: sanic.Request, fingerprint: str
 ) -> Any:
+    """Ends the quarantine of the request content with this fingerprint."""
     if not _FINGERPRINT_PATTERN.fullmatch(fingerprint):
         raise BadRequestError("fingerprint", "a number in hex is allowed")
     operator = req.headers.get("catkinpin-operator", "")
--- a/catkinpin/adapters/entry/shards.py
+++ b/catkinpin/adapters/entry/shards.py
@@ -23,7 +23,7 @@
 
     Args:
         addresses: peer addresses of the replicas.
-        hello: introduces this process to the replicas.
+        hello: first message on each stream; it says which process this is.
         on_message: called with messages that are not replies.
         on_connected: called with each link that is established.
     """
@@ -115,10 +115,10 @@
         return self.links.get(known.leader) if known is not None else None
 
     def _abandon_asks(self, group: str) -> None:
-        """Abandons the asks that were sent to a leader of an earlier term.
+        """Abandons the requests that were sent to a leader of an earlier term.
 
-        A replica that is no longer leader drops its waiting asks. Its stream
-        may stay open for ever, so the caller would wait until its deadline.
+        A replica that no longer leads drops the requests that wait. Its stream
+        may stay open forever, so the caller would wait until its deadline.
         """
         for ask, (asked_group, link) in list(self._pending_asks.items()):
             if asked_group == group:
--- a/catkinpin/adapters/gateway/serving.py
+++ b/catkinpin/adapters/gateway/serving.py
@@ -126,8 +126,9 @@
         name = routes.pick_service(route, self._rng)
         service = self._view.table.services[name]
         if self._may_stop_first(call, route, service):
-            # Another gateway has enough time for the request. Here it might
-            # be aborted at the stop after a server has run it in vain.
+            # This gateway is stopping. It might abort the request while a
+            # server runs it, and the server's work would be lost. Another
+            # gateway has enough time for it.
             refuse(responder, call, 503, "stopping", _STOPPING_RETRY_AFTER_S)
             return
         deadline_s = request.arrived_s + _timeout_s(call, route)
--- a/catkinpin/adapters/gateway/turns.py
+++ b/catkinpin/adapters/gateway/turns.py
@@ -26,14 +26,14 @@
 
 log = logging.getLogger(__name__)
 
-# If a holder takes longer than this to store, the gateway also asks another
-# one. Several times a disk sync plus the round trip to the other region.
+# If a host takes longer than this to store a turn, the gateway also sends it to
+# another one. Several times a disk sync plus a round trip between regions.
 _SLOW_STORE_S = 0.15
 _STORE_TIMEOUT_S = 1.5
-# A slow holder is ranked last in its region for this long. So only one turn per
+# A slow host is ranked last in its region for this long. So only one turn per
 # period waits for it, which shows whether it is still slow.
 _SLOW_HOLDER_S = 2.0
-# Timeout for reading the bytes of a chain from one holder.
+# Timeout for reading the bytes of a chain from one host that stores them.
 _FETCH_TIMEOUT_S = 0.6
 # An unsettled turn keeps its tokens reserved, so the gateway keeps asking for
 # this long.
@@ -129,7 +129,7 @@
 
 
 class TurnClient:
-    """Sends requests about turns to the leader and to the holders of bytes.
+    """Sends requests about turns to the leader and to the storing hosts.
 
     Args:
         keepers: links to keepers and stores.
@@ -147,7 +147,7 @@
         self._cache = _Cache(cache_bytes)
         self._tasks = BackgroundTasks()
         self._rotation = 0
-        # For each slow holder the loop time until which it is ranked last.
+        # For each slow host the loop time until which it is ranked last.
         self._slow_until_s: dict[str, float] = {}
 
     @property
@@ -300,7 +300,7 @@
         return b"".join(parts)
 
     async def _fetch(self, links: list[Link], found: dict[str, bytes]) -> None:
-        """Reads the bytes of turns into `found`, nearest holders first."""
+        """Reads the bytes of turns into `found`, nearest hosts first."""
         for holder_index in range(self._copies):
             requested: dict[str, list[str]] = {}
             for link in links:
@@ -386,7 +386,11 @@
         running[task] = host.info.node if host.info is not None else ""
 
     def _mark_slow(self, nodes: Iterable[str]) -> None:
-        """Ranks slow or failed holders last for `_SLOW_HOLDER_S`."""
+        """Marks hosts that were slow or failed to store a turn.
+
+        For the next `_SLOW_HOLDER_S`, such a host is asked only after the other
+        hosts of its region.
+        """
         until_s = asyncio.get_running_loop().time() + _SLOW_HOLDER_S
         for node in nodes:
             if node not in self._slow_until_s:
--- a/catkinpin/adapters/keeper/host.py
+++ b/catkinpin/adapters/keeper/host.py
@@ -61,13 +61,13 @@
     Args:
         clock: the time source.
         incarnation: of this process; makes the tags of its proposals unique.
-        silent_server_ms: a server that does not announce itself for so long
+        silent_server_ms: a server that does not announce itself for this long
             counts as lost.
         tolerance: how exactly the quotas of client accounts must hold.
         on_routing_changed: called after each change of the routes.
         on_servers_changed: called with the servers that changed.
         on_turns_expired: called with the attempts that expired.
-        on_quarantined: called with the contents that were quarantined.
+        on_quarantined: called with digests of quarantined request contents.
 
     Attributes:
         state: the replicated state.
--- a/catkinpin/adapters/keeper/publisher.py
+++ b/catkinpin/adapters/keeper/publisher.py
@@ -71,13 +71,13 @@
         self._server_updates.send_to_slow_gateways()
 
     def publish_quarantine(self, contents: list[str]) -> None:
-        """Sends quarantined contents to gateways; no server may get them."""
+        """Sends gateways the digests of contents that no server may get."""
         self._broadcast(
             protocol.QuarantineUpdate(contents=contents), GATEWAY_ROLE
         )
 
     def publish_unresponsive(self, servers: list[str]) -> None:
-        """Sends to gateways which plain servers answer no gateway."""
+        """Tells gateways which servers of plain services are unresponsive."""
         self._broadcast(
             protocol.UnresponsiveUpdate(servers=servers), GATEWAY_ROLE
         )
--- a/catkinpin/adapters/keeper/repair.py
+++ b/catkinpin/adapters/keeper/repair.py
@@ -28,8 +28,8 @@
 
 log = logging.getLogger(__name__)
 
-# A store silent for so long counts as lost until it connects again. Hosts that
-# restart or thaw are back sooner.
+# A store silent for this long counts as lost until it connects again. Hosts
+# that restart or thaw are back sooner.
 _SILENT_STORE_MS = 5_000
 # From the order to empty a store until the last turn is settled by a gateway
 # that stored there before it received the order.
@@ -195,7 +195,7 @@
         return counted_hosts
 
     async def _copy(self, copy: copies.CopyBatch) -> None:
-        """Copies a batch of turns to its target and commits the new holder."""
+        """Copies a batch of turns to a host, then commits that it has them."""
         copy_turns = protocol.CopyTurns(
             ask=0, attempts=copy.attempts, source=copy.source.address
         )
--- a/catkinpin/adapters/keeper/turns.py
+++ b/catkinpin/adapters/keeper/turns.py
@@ -91,7 +91,15 @@
     def report_use(
         self, message: protocol.ReportUse, gateway: str
     ) -> protocol.QuotaUpdate | Undecided:
-        """Counts plain requests; returns the accounts over their quota."""
+        """Handles a report of plain requests and of unresponsive servers.
+
+        Plain requests are those that are no turns. They are counted against the
+        quotas of their accounts.
+
+        Returns:
+            The accounts over their quota; `Undecided` if this keeper doesn't
+            lead.
+        """
         if not self._host.holds_lease():
             return Undecided("not the leader")
         self._unresponsive.report(
--- a/catkinpin/adapters/peers/keepers.py
+++ b/catkinpin/adapters/peers/keepers.py
@@ -22,10 +22,10 @@
 
 # Between two attempts to reach the leader; an election takes some hundred ms.
 _RETRY_DELAY_S = 0.04
-# A host that was not connected for so long counts as removed. Its link is made
-# anew if another host still names it.
+# A host that was not connected for this long counts as removed. A new link is
+# made if another host still names it.
 _FORGET_AFTER_S = 30.0
-# Longest wait for one ask to one keeper: a sync on a slow disk, a round trip
+# Longest wait for one keeper's reply: a sync on a slow disk, a round trip
 # between regions, and some reserve. After that another keeper may lead.
 _SINGLE_ASK_TIMEOUT_S = 0.7
 
@@ -35,9 +35,10 @@
     """A keeper or a store, and the link to it.
 
     Attributes:
-        info: its latest introduction, None before the first.
+        info: its latest description of itself, None before the first.
         last_connected_s: monotonic time at which it was last connected.
-        leader_ask_ids: ids of the pending asks that only a leader answers.
+        leader_ask_ids: ids of the pending requests that this host was sent
+            because it led. They fail once another host leads.
     """
 
     link: links.PeerLink
@@ -55,8 +56,8 @@
     """Links to all keepers and stores, which it finds from a few seeds.
 
     Args:
-        hello: introduces this process to them.
-        on_message: called with each message that answers no ask.
+        hello: first message on each link; it says which process this is.
+        on_message: called with each message that is not a reply.
 
     Attributes:
         retiring: identities of the stores that are being emptied.
@@ -96,7 +97,7 @@
             await host.link.stop()
 
     def connected(self) -> list[Host]:
-        """Returns the connected hosts that have introduced themselves."""
+        """Returns the connected hosts that have described themselves."""
         return [
             host
             for host in self._hosts.values()
@@ -147,7 +148,7 @@
 
         Args:
             host: receives the message.
-            make_message: returns the message with the given ask id.
+            make_message: returns the message with the given request id.
             wait_s: longest wait.
 
         Raises:
@@ -191,9 +192,9 @@
         """Asks a leader; waits until it replies or another keeper leads.
 
         The stream to a frozen leader stays open, so only a message from the
-        next leader shows that it no longer leads. If the ask went on waiting,
-        each turn in progress would lose the rest of the ask's timeout in
-        addition to the election.
+        next leader shows that it no longer leads. If the request kept
+        waiting, each turn in progress would lose the rest of the request's
+        timeout in addition to the election.
         """
         ask_id = links.next_ask_id()
         host.leader_ask_ids.add(ask_id)
@@ -203,7 +204,7 @@
             host.leader_ask_ids.discard(ask_id)
 
     def _abandon_stale_asks(self) -> None:
-        """Fails the pending asks to keepers that no longer lead."""
+        """Fails the pending requests to keepers that no longer lead."""
         for address, host in self._hosts.items():
             if address != self._leader:
                 for ask_id in host.leader_ask_ids:
--- a/catkinpin/adapters/peers/links.py
+++ b/catkinpin/adapters/peers/links.py
@@ -163,13 +163,13 @@
 
 
 class PeerLink:
-    """Keeps a stream to another process open and assigns replies to asks.
+    """Keeps a stream to another process open; matches replies to requests.
 
     Args:
         address: IP and port of the other process.
-        hello: introduces this process to the other one.
+        hello: first message on each stream; it says which process this is.
         message_types: union of the messages that may arrive.
-        on_message: called with each message that answers no pending `ask`.
+        on_message: called with each message that answers no pending request.
         on_connected: called after the first frame on a new stream.
         compressed: whether to compress batches, for links of low bandwidth.
         link: label of the sent bytes in the metrics.
@@ -244,7 +244,7 @@
             self._asked_at_ms.pop(message.ask, None)
 
     def abandon_ask(self, ask: int) -> None:
-        """Fails a pending ask, as if the stream had broken."""
+        """Fails a pending request, as if the stream had broken."""
         fut = self._pending_asks.get(ask)
         if fut is not None and not fut.done():
             fut.set_exception(PeerLostError(f"gave up on {self.address}"))
@@ -314,7 +314,7 @@
             self._on_message(message)
 
     def _handle_disconnect(self) -> None:
-        """Fails all pending asks."""
+        """Fails all pending requests."""
         self._stream = None
         self.connected.clear()
         for fut in self._pending_asks.values():
--- a/catkinpin/adapters/peers/streams.py
+++ b/catkinpin/adapters/peers/streams.py
@@ -81,7 +81,8 @@
     """One end of a stream: a send queue and the state of the other end.
 
     Attributes:
-        hello: the other end's introduction, None before it arrives.
+        hello: the other end's first message, which says what process it is;
+            None before it arrives.
         closed: whether the stream has ended.
         earliest_sent_ms: earliest local monotonic time at which a message that
             arrives now can have been sent.
@@ -207,8 +208,8 @@
     Args:
         grant: as received.
         stream: the stream it arrived on.
-        asked_at_ms: when this process sent the ask that it answers, 0 if it
-            answers none.
+        asked_at_ms: when this process sent the request that the grant answers,
+            0 if it answers none.
     """
     if not grant.expires_ms:
         return grant
--- a/catkinpin/adapters/replica/context.py
+++ b/catkinpin/adapters/replica/context.py
@@ -32,7 +32,7 @@
 
     @property
     def quarantine(self) -> Container[bytes]:
-        """Fingerprints of the quarantined contents, which no server may get."""
+        """Fingerprints of request contents that no server may get."""
 
 
 class QuarantineHost(Protocol):
@@ -43,7 +43,7 @@
         """The control group's state."""
 
     async def quarantine(self, fingerprint: bytes, reason: str) -> bool:
-        """Quarantines a content; returns whether that is in the log."""
+        """Quarantines a request's content; returns whether the log has it."""
 
 
 class ReplicaContext(Protocol):
@@ -55,7 +55,8 @@
         node: runs the replica's log groups.
         view: the backend servers, according to their reports.
         replicas: streams to all replicas.
-        lease: the lease to decide by the present configuration.
+        lease: this replica's lease on its configuration, from the control
+            group's leader. Without it the replica places no calls.
     """
 
     cfg: ReplicaSettings
--- a/catkinpin/adapters/replica/controlhost.py
+++ b/catkinpin/adapters/replica/controlhost.py
@@ -1,4 +1,7 @@
-"""Hosts the control group in a replica: its state and, if led, its leader."""
+"""Holds a replica's copy of the control group's state.
+
+While the replica leads the group, it also answers the group's requests.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,13 @@
 
 
 class ControlHost:
-    """Holds the control group's state, and answers requests if it leads."""
+    """Holds the group's state; answers requests while the replica leads.
+
+    Attributes:
+        state: this replica's copy of the state.
+        leader: handles requests; None while another replica leads the group.
+        group: this replica's part in the group's consensus.
+    """
 
     def __init__(self, replica: ReplicaContext) -> None:
         self._replica = replica
@@ -87,7 +96,7 @@
         """Asks the group's leader to quarantine a request's content.
 
         Returns:
-            Whether that is in the log; False if no leader answered.
+            Whether the quarantine is in the log; False if no leader answered.
         """
 
         def make_request(ask: int) -> changes.Quarantine:
--- a/catkinpin/adapters/replica/founding.py
+++ b/catkinpin/adapters/replica/founding.py
@@ -1,4 +1,4 @@
-"""Founds a system of replicas, and lets a replica join a founded one."""
+"""Initializes (founds) a system of replicas, or joins an existing one."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-# While the founding waits for the same seeds, it logs them this often.
+# While the initialization waits for the same seeds, it logs them this often.
 _WAIT_LOG_INTERVAL_MS = 10_000
 # If an operator repairs replicas, the settings list all of them: all must
 # answer, and one with an empty disk waits for the operator, not for a timeout.
@@ -33,7 +33,7 @@
     """Settings of a replica that joins without an operator's repair.
 
     Attributes:
-        seeds: peer addresses of the replicas that found the system.
+        seeds: peer addresses of the replicas that initialize the system.
         first_start: whether the whole system starts for the first time.
     """
 
@@ -44,17 +44,18 @@
 class Founding:
     """Decides when this replica participates in the groups.
 
-    The seeds found a system once. If a replica's data folder is empty and
-    another's is not, the replica has lost its disk. If it voted under its old
-    identity, a decision that it has forgotten could be made a second time. So
-    it waits for an operator's repair.
+    The seeds initialize ("found") a system once: they agree on the first
+    members of its groups. If a replica's data folder is empty and another's is
+    not, the replica has lost its disk. If it voted under its old identity, a
+    decision that it has forgotten could be made a second time. So it waits for
+    an operator's repair.
 
     With `auto_join`, for systems whose hosts are replaced without an operator,
     a replica with an empty folder joins under its new identity instead. A seed
-    first waits until it learns of a founded system. There may be none yet: the
-    seed may have stopped during the system's first start before it wrote
-    anything. Only the settings say whether the system starts for the first
-    time; the replica can't infer it.
+    first waits until it learns that the system is initialized. It may not be
+    yet: the seed may have stopped during the system's first start before it
+    wrote anything. Only the settings say whether the system starts for the
+    first time; the replica can't infer it.
 
     Args:
         identity: this replica's identity file.
@@ -89,7 +90,7 @@
         self._waiting_since_ms = clock.since_boot_ms()
 
     def _new_founder(self) -> Founder:
-        """Returns the founding algorithm's state for this replica."""
+        """Returns the state of the founding algorithm for this replica."""
         auto_join = self._auto_join
         if auto_join is None:
             seeds = (self._address, *self._mesh.addresses)
@@ -107,10 +108,10 @@
         )
 
     def start(self) -> None:
-        """Starts the founding, unless this replica can participate at once.
+        """Starts initializing, unless this replica can participate at once.
 
         It can if an earlier run of it participated already, or if it is no seed
-        and so joins the founded system.
+        and so joins the existing system.
         """
         if self._identity.participates:
             self._on_participation()
@@ -120,7 +121,7 @@
             self.tick()
 
     def tick(self) -> None:
-        """Introduces this replica and continues the founding, if it waits."""
+        """Continues the initialization, unless this replica participates."""
         if self._identity.participates:
             return
         self._mesh.broadcast(self.node_info())
@@ -165,7 +166,7 @@
         self._run_commands()
 
     def handle(self, message: FoundingMessage) -> None:
-        """Handles a founding request or reply of another seed."""
+        """Handles an initialization request or reply of another seed."""
         members = self._known_members()
         if members.members:
             self._mesh.send(message.sender, transport.Found(members=members))
@@ -185,10 +186,13 @@
             self._others_founded = True
 
     def record_system_known(self, by: str) -> None:
-        """Records that a process knows of a founded system.
+        """Records that another process has seen the system initialized.
+
+        From now on, seeds that may have lost their disks don't count for an
+        initialization: it could create a second system beside the existing one.
 
         Args:
-            by: name of the process.
+            by: name of the process that reported it.
         """
         if not self._identity.participates and not self._founder.knows_group:
             decisions.note("founding", "", system_known_by=by)
@@ -217,7 +221,7 @@
         return is_waiting and self._others_founded
 
     def awaited_seeds(self) -> list[str]:
-        """Returns the addresses of the seeds that the founding waits for."""
+        """Returns the addresses of the seeds that this replica waits for."""
         return list(self._founder.wait_status(clock.since_boot_ms()).seeds)
 
     def _known_members(self) -> Members:
@@ -259,10 +263,10 @@
         self._on_participation()
 
     def _log_wait_status(self) -> None:
-        """Logs what the founding waits for, on each change and periodically.
+        """Logs what this replica waits for, on each change and periodically.
 
-        Otherwise a system that is not founded would look the same as one that
-        has no leader.
+        Otherwise a system that is not initialized would look the same as one
+        that has no leader.
         """
         if self._identity.participates:
             return
--- a/catkinpin/adapters/replica/identity.py
+++ b/catkinpin/adapters/replica/identity.py
@@ -24,13 +24,15 @@
     Attributes:
         version: version of the file's format.
         node: the identity.
-        founders: the first members of all groups; None before the founding.
-        joining: whether this replica joins a founded system, ordered by an
+        founders: the first members of all groups; None before the system's
+            initialization.
+        joining: whether this replica joins an existing system, ordered by an
             operator or by itself.
         introduced: whether this disk was already used when the system first
             started. If so, it holds all promises of its replica.
-        seeds: addresses that may found the system, as of that start.
-        promised: highest ballot of the founding that was promised.
+        seeds: addresses of the replicas that may initialize the system, as of
+            its first start.
+        promised: highest ballot of the initialization that was promised.
         accepted: newest proposal of first members that was accepted.
     """
 
@@ -69,12 +71,12 @@
 
     @property
     def founders(self) -> Members | None:
-        """The first members of all groups, None before the founding."""
+        """The first members of all groups, None before the initialization."""
         return self._content.founders
 
     @property
     def joining(self) -> bool:
-        """Whether this replica joins a founded system."""
+        """Whether this replica joins an existing system."""
         return self._content.joining
 
     @property
@@ -113,7 +115,7 @@
         self._write()
 
     def save_joining(self) -> None:
-        """Stores and syncs that this replica joins a founded system."""
+        """Stores and syncs that this replica joins an existing system."""
         self._content.joining = True
         self._write()
 
--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -153,13 +153,13 @@
         return required is None or required is group or required.is_current()
 
     def start(self, hello: messages.Hello) -> None:
-        """Connects to the other replicas and starts the founding."""
+        """Connects to the other replicas; initializes or joins the system."""
         self.storage.sync()
         self.address = hello.address
         listed = self._cfg.replicas
         is_fixed = self._cfg.auto_join is None
         if is_fixed and listed and self.address not in listed:
-            # The others would found the system without this replica.
+            # The others would initialize the system without this replica.
             raise SettingsError(
                 f"replicas: {', '.join(listed)} does not hold this replica's"
                 f" own address {self.address}; see peer_advertise"
@@ -219,7 +219,7 @@
         return self._founding.needs_repair()
 
     def record_system_known(self, by: str) -> None:
-        """Records that the process `by` knows of a founded system."""
+        """Records that process `by` has seen the system initialized."""
         self._founding.record_system_known(by)
 
     def repair(self) -> None:
--- a/catkinpin/adapters/replica/shardhost.py
+++ b/catkinpin/adapters/replica/shardhost.py
@@ -1,4 +1,7 @@
-"""Hosts a program shard in a replica: its state and, if led, its leader."""
+"""Holds a replica's copy of a program shard's state.
+
+While the replica leads the shard, it also places the shard's calls.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 
 
 class ShardHost:
-    """Holds a shard's state, and decides about its calls if it leads."""
+    """Holds a shard's state; decides on its calls while the replica leads."""
 
     def __init__(self, replica: ReplicaContext, name: str) -> None:
         self._replica = replica
@@ -97,7 +100,7 @@
         return content in self._replica.control.state.quarantine
 
     def _share_quarantine(self, content: bytes) -> None:
-        """Asks the control group to quarantine a content.
+        """Asks the control group to quarantine a request's content.
 
         If that fails, the shard's leader asks again later.
         """
@@ -184,7 +187,10 @@
         )
 
     def snapshot(self) -> bytes:
-        """Returns the encoded state; texts stay in the log's records."""
+        """Returns the encoded state, without messages and answers.
+
+        The state refers to the log records that contain these.
+        """
         return self.state.snapshot()
 
     def restore(self, data: bytes) -> None:
--- a/catkinpin/adapters/replica/slowdisk.py
+++ b/catkinpin/adapters/replica/slowdisk.py
@@ -40,10 +40,11 @@
         self._sync_times.add_sample(sync_ms)
 
     def tick(self, groups: Iterable[Group], now_ms: int) -> None:
-        """Transfers all groups led here if the disk is slow."""
+        """Transfers the leadership of all groups if the disk is slow."""
         led = [group for group in groups if group.is_leader()]
         if not led:
             self._last_idle_ms = now_ms
+        # How long this host has led at least one group.
         leading_ms = now_ms - self._last_idle_ms
         if leading_ms < _MIN_LEADING_MS or not self._sync_times.is_slow():
             return
--- a/catkinpin/adapters/replica/transport.py
+++ b/catkinpin/adapters/replica/transport.py
@@ -59,10 +59,11 @@
     Attributes:
         node: its identity.
         address: its peer address.
-        founded: whether it knows the members of a founded system.
+        founded: whether it knows the members of an initialized system.
         known: peer addresses of the replicas that it knows.
         empty: whether it may have lost an earlier disk.
-        knows_group: whether another process has told it of a founded system.
+        knows_group: whether another process has told it that the system is
+            initialized.
     """
 
     node: str
@@ -74,7 +75,7 @@
 
 
 class Found(Message, frozen=True):
-    """Reports that the system is founded, with its members."""
+    """Reports that the system is initialized, with its members."""
 
     members: Members
 
--- a/catkinpin/adapters/store/turnserver.py
+++ b/catkinpin/adapters/store/turnserver.py
@@ -37,7 +37,7 @@
 
     Args:
         data: the bytes on disk.
-        others: links to other holders.
+        others: links to the other hosts that store turns.
         on_disk_failure: called if the disk fails; the request is then not
             acknowledged.
     """
@@ -79,7 +79,7 @@
     async def copy_turns(
         self, reply: ReplyStream, message: protocol.CopyTurns
     ) -> None:
-        """Copies turns from another holder; replies once they are synced."""
+        """Copies turns from another host; replies once they are synced."""
         missing = [
             attempt for attempt in message.attempts if attempt not in self.data
         ]
--- a/catkinpin/core/consensus/founding.py
+++ b/catkinpin/core/consensus/founding.py
@@ -82,7 +82,8 @@
 
     Attributes:
         record: state as of the last `Save` command.
-        knows_group: whether a process has reported a founded system.
+        knows_group: whether a process has reported that the system is
+            initialized.
     """
 
     def __init__(
@@ -125,11 +126,11 @@
         self.tick(now_ms)
 
     def group_known(self) -> None:
-        """Records that another process knows of a founded system.
+        """Records that another process has seen the system initialized.
 
         From now on no attempt may count seeds that may have lost their disks.
-        Seeds that kept their disks can still found the system: what they have
-        stored is more reliable than the report.
+        Seeds that kept their disks can still found the system: what is stored
+        there is more reliable than the report.
         """
         self.knows_group = True
         if self._attempt is not None and self._attempt.counts_empty:
--- a/catkinpin/core/messages.py
+++ b/catkinpin/core/messages.py
@@ -333,12 +333,12 @@
         kind: `model` or `service`.
         serves: names of the models or services.
         capacity: number of requests it can run at the same time.
-        cache_tokens: size of its prefix cache; 0 for other kinds.
+        cache_tokens: size of its prefix cache in tokens; 0 for other kinds.
         running: number of requests it was running.
         waiting: number of requests in its queue.
         leaving: whether it asks for no new work.
         honours_fencing: whether it refuses orders with an old fencing token.
-        checks_sender: whether it checks who sent an order.
+        checks_sender: whether it verifies the identity of an order's sender.
         held: ids of programs whose prefixes its cache holds.
     """
 
--- a/catkinpin/core/operations/changes.py
+++ b/catkinpin/core/operations/changes.py
@@ -24,7 +24,7 @@
     Attributes:
         leaving: whether the server asks for no new work.
         honours_fencing: whether it refuses orders with an old fencing token.
-        checks_sender: whether it checks who sent an order.
+        checks_sender: whether it verifies the identity of an order's sender.
     """
 
     server: str
--- a/catkinpin/core/programs/shard.py
+++ b/catkinpin/core/programs/shard.py
@@ -111,7 +111,7 @@
         self.quarantine = decoded.quarantine
 
     def referenced(self) -> Iterator[int]:
-        """Yields the indexes of log records whose texts are still needed."""
+        """Yields the indexes of log records whose contents are still needed."""
         for program in self.programs.values():
             last_index = 0
             for item in program.history:
