--- a/catkinpin/adapters/replica/node.py
+++ b/catkinpin/adapters/replica/node.py
@@ -153,7 +153,7 @@
         return required is None or required is group or required.is_current()
 
     def start(self, hello: messages.Hello) -> None:
-        """Connects to the other replicas; initializes or joins the system."""
+        """Connects to the other replicas and starts `Founding`."""
         self.storage.sync()
         self.address = hello.address
         listed = self._cfg.replicas
