--- a/tests/base.py
+++ b/tests/base.py
@@ -1,4 +1,4 @@
-"""Helpers that the tests share: processes, ports, waiting, HTTP."""
+"""Shared test helpers: a cluster of processes, waiting, HTTP calls."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 OPERATOR_KEY = "operator-key"
 ACCOUNT_KEYS = {"ruegg": "ruegg-key", "kunci": "kunci-key"}
-_WAIT_S = 20.0
-_POLL_S = 0.02
+_DEFAULT_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.02
 
 
 class TestCase(testtools.TestCase):
-    """A test with a folder of its own."""
+    """Base class of tests: each test gets its own temporary folder."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -39,38 +39,58 @@
         self.addOnException(self._keep_logs)
 
     def _keep_logs(self, exc_info: Any) -> None:
-        """Keeps what processes wrote: some failures are not seen twice."""
+        """Copies the logs of a failed test: it may not fail again."""
         kept = processes.ROOT / "out" / "failed" / self.id()
         kept.mkdir(parents=True, exist_ok=True)
         for path in self.folder.glob("*.log"):
             shutil.copy(path, kept)
 
     def run_async(self, main: Coroutine[Any, Any, None]) -> None:
-        """Runs a coroutine to its end."""
+        """Runs a coroutine to completion on a new event loop."""
         uvloop.run(main)
 
 
 async def until(
-    check: Callable[[], Awaitable[Any]], what: str, wait_s: float = _WAIT_S
+    check: Callable[[], Awaitable[Any]],
+    what: str,
+    wait_s: float = _DEFAULT_TIMEOUT_S,
 ) -> Any:
-    """Waits until `check` returns something true, and returns it."""
-    end = time.monotonic() + wait_s
+    """Polls `check` until its result is true, and returns the result.
+
+    A failed connection or a timeout in `check` counts as not yet true.
+
+    Args:
+        check: called at each poll.
+        what: what is waited for, for the error message.
+        wait_s: how long to wait.
+
+    Raises:
+        AssertionError: `check` did not return a true value in time.
+    """
+    deadline = time.monotonic() + wait_s
     while True:
         with contextlib.suppress(
             aiohttp.ClientError, TimeoutError, ConnectionError
         ):
             if result := await check():
                 return result
-        if time.monotonic() > end:
-            raise AssertionError(f"waited {wait_s} s in vain for: {what}")
-        await asyncio.sleep(_POLL_S)
+        if time.monotonic() > deadline:
+            raise AssertionError(f"timed out after {wait_s} s: {what}")
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 class Cluster:
-    """Replicas, entries and fakes as real processes on loopback.
+    """Runs replicas, entries and fake servers as processes on loopback.
 
     Attributes:
-        http: a client session for the test's own requests.
+        folder: holds the logs and the data of the processes.
+        processes: each process by its name.
+        addresses: base URL of each entry and fake server, and of each
+            proxy's control interface, by name.
+        admin: address of the admin interface of each entry and replica.
+        replicas: addresses at which the replicas are reached.
+        entries: admin addresses of the entries.
+        http: client session for the test's own requests.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -95,12 +115,19 @@
             process.end()
 
     def spawn(self, name: str, module: str, /, **flags: Any) -> Process:
-        """Starts a process; each flag's name gets dashes."""
+        """Starts a process.
+
+        Args:
+            name: name of the process and of its log file.
+            module: module to run, and its subcommand if it has one.
+            **flags: command-line flags, with `_` for `-`; a list repeats
+                the flag for each of its values.
+        """
         args = []
         for flag, value in flags.items():
             values = value if isinstance(value, list) else [value]
-            for one in values:
-                args += ["--" + flag.replace("_", "-"), str(one)]
+            for item in values:
+                args += ["--" + flag.replace("_", "-"), str(item)]
         log = self.folder / f"{name}.log"
         self.processes[name] = Process(module, args, log)
         return self.processes[name]
@@ -108,14 +135,13 @@
     def add_replicas(
         self, count: int, *, proxied: bool = False, **flags: Any
     ) -> None:
-        """Starts replicas that know one another.
+        """Starts the replicas of one group.
 
-        With `proxied` all reach one through the proxy `NAME-proxy`.
+        With `proxied` each replica is reached through the proxy
+        `NAME-proxy`, also by the other replicas.
         """
-        numbers = ports.free_ports(2 * count)
-        self.replicas = listen = [
-            f"127.0.0.1:{port}" for port in numbers[:count]
-        ]
+        free = ports.free_ports(2 * count)
+        self.replicas = listen = [f"127.0.0.1:{port}" for port in free[:count]]
         if proxied:
             self.replicas = [
                 self.add_proxy(f"replica-{number}-proxy", address)
@@ -123,7 +149,7 @@
             ]
         for number in range(count):
             name = f"replica-{number + 1}"
-            self.admin[name] = f"127.0.0.1:{numbers[count + number]}"
+            self.admin[name] = f"127.0.0.1:{free[count + number]}"
             self.spawn(
                 name,
                 "catkinpin replica",
@@ -175,9 +201,15 @@
     def add_fake(
         self, kind: str, name: str, *, proxied: bool = False, **flags: Any
     ) -> str:
-        """Starts a fake engine or service and returns its URL.
+        """Starts a fake backend server and returns its URL.
 
         With `proxied` it announces the address of the proxy `NAME-proxy`.
+
+        Args:
+            kind: module in tests.fakes, as `engine` or `service`.
+            name: name of the server and its process.
+            proxied: whether it is reached through a proxy.
+            **flags: further flags of the process.
         """
         port = ports.free_ports(1)[0]
         if proxied:
@@ -195,7 +227,7 @@
         return self.addresses[name]
 
     def add_proxy(self, name: str, target: str) -> str:
-        """Starts a proxy before `target` and returns its address."""
+        """Starts a proxy to `target` and returns the proxy's address."""
         port, control = ports.free_ports(2)
         self.addresses[name] = f"http://127.0.0.1:{control}"
         self.spawn(
@@ -204,17 +236,17 @@
         return f"127.0.0.1:{port}"
 
     async def steer(self, name: str, **settings: Any) -> None:
-        """Changes a fake's settings."""
+        """Changes settings of a fake server or a proxy."""
         url = self.addresses[name] + "/fake"
 
-        async def done() -> bool:
+        async def accepted() -> bool:
             async with self.http.post(url, json=settings) as resp:
                 return resp.ok
 
-        await until(done, f"{name} takes its settings")
+        await until(accepted, f"{name} accepts its settings")
 
     async def look(self, name: str) -> Any:
-        """Returns what a fake has seen."""
+        """Returns the state that a fake server or a proxy reports."""
         async with self.http.get(self.addresses[name] + "/fake") as resp:
             return await resp.json()
 
@@ -246,14 +278,14 @@
         return await until(check, "the configuration is applied")
 
     async def serving(self, entry: str, target: str, kind: str) -> None:
-        """Waits until calls to a target are answered."""
+        """Waits until a call to a target through an entry succeeds."""
 
         async def check() -> bool:
             if kind == "model":
-                answer = await self.chat(entry, target, [user("probe")])
+                reply = await self.chat(entry, target, [user("probe")])
             else:
-                answer = await self.call_service(entry, target, "probe", "")
-            return bool(answer.status == 200)
+                reply = await self.call_service(entry, target, "probe", "")
+            return bool(reply.status == 200)
 
         await until(check, f"{target} is served through {entry}")
 
@@ -283,20 +315,29 @@
         headers: dict[str, str] | None = None,
         on_token: Callable[[int], Awaitable[None]] | None = None,
     ) -> Streamed:
-        """Makes a streamed model call; `on_token` is told of each token."""
+        """Makes a streamed model call.
+
+        Args:
+            entry: name of the entry.
+            model: target of the call.
+            messages: prompt.
+            headers: further request headers.
+            on_token: called after each token with the number of tokens
+                received so far.
+        """
         body = {"model": model, "messages": messages, "stream": True}
         url = self.addresses[entry] + "/v1/chat/completions"
         auth = {"Authorization": f"Bearer {ACCOUNT_KEYS['ruegg']}"}
-        got = Streamed()
+        streamed = Streamed()
         async with self.http.post(
             url, json=body, headers={**auth, **(headers or {})}
         ) as resp:
-            got.status = resp.status
+            streamed.status = resp.status
             async for line in resp.content:
-                got.feed(line.strip())
-                if on_token is not None and got.fresh:
-                    await on_token(len(got.words))
-        return got
+                streamed.feed(line.strip())
+                if on_token is not None and streamed.fresh:
+                    await on_token(len(streamed.words))
+        return streamed
 
     async def call_service(
         self,
@@ -318,12 +359,12 @@
 
 
 def user(text: str) -> dict[str, str]:
-    """Returns a user's message."""
+    """Returns a chat message of the role `user`."""
     return {"role": "user", "content": text}
 
 
 def config(budget: int = 1_000_000) -> str:
-    """Returns a configuration with both users' accounts and targets."""
+    """Returns a configuration with all test accounts and targets."""
     lines = []
     for name, key in ACCOUNT_KEYS.items():
         digest = configuration.key_digest(key)
@@ -351,26 +392,28 @@
     replicas_proxied: bool = False,
     **flags: Any,
 ) -> Cluster:
-    """Starts a replica, entries, engines and services, all serving.
+    """Starts a small cluster and waits until its targets are served.
 
     Args:
-        folder: for logs and data.
-        entries: how many.
-        engines: flags of each engine by its name; None: one, `engine-1`.
-        services: the same for services.
-        replicas: how many.
-        replicas_proxied: whether they are reached through proxies.
-        **flags: of all entries.
+        folder: holds the logs and the data of the processes.
+        entries: number of entries.
+        engines: flags of each fake engine by its name; None starts one,
+            `engine-1`.
+        services: flags of each fake service by its name; None starts one,
+            `service-1`.
+        replicas: number of replicas.
+        replicas_proxied: whether the replicas are reached through proxies.
+        **flags: flags of every entry.
     """
     cluster = Cluster(folder)
     await cluster.__aenter__()
     cluster.add_replicas(replicas, proxied=replicas_proxied)
     for number in range(entries):
         cluster.add_entry(f"entry-{number + 1}", **flags)
-    for name, own in (engines or {"engine-1": {}}).items():
-        cluster.add_fake("engine", name, **own)
-    for name, own in (services or {"service-1": {}}).items():
-        cluster.add_fake("service", name, **own)
+    for name, engine_flags in (engines or {"engine-1": {}}).items():
+        cluster.add_fake("engine", name, **engine_flags)
+    for name, service_flags in (services or {"service-1": {}}).items():
+        cluster.add_fake("service", name, **service_flags)
     await cluster.apply(config())
     for number in range(entries):
         await cluster.ready(f"entry-{number + 1}")
--- a/tests/cells.py
+++ b/tests/cells.py
@@ -1,4 +1,4 @@
-"""What tests of faults share: a cell of the fault matrix and its checks."""
+"""Base class of the fault tests: runs a cluster and checks results."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def at(number: int, act: Callable[[], Any]) -> Any:
-    """Returns a callback that acts when token `number` has come."""
+    """Returns an `on_token` callback that calls `act` at token `number`."""
 
     async def on_token(count: int) -> None:
         if count == number:
@@ -27,12 +27,17 @@
 
 
 class FaultsTest(base.TestCase):
-    """Base: a cluster, and checks that many cells share."""
+    """Base class of the fault tests."""
 
     def cell(
         self, body: Callable[[base.Cluster], Awaitable[None]], **parts: Any
     ) -> None:
-        """Runs a test's body on a fresh small cluster."""
+        """Runs the body of a test on a new small cluster.
+
+        Args:
+            body: receives the cluster.
+            **parts: arguments of `base.small`.
+        """
 
         async def main() -> None:
             async with await base.small(self.folder, **parts) as cluster:
@@ -41,7 +46,7 @@
         self.run_async(main())
 
     def assert_whole(self, got: replies.Streamed) -> None:
-        """Checks that a caller got each token once and the proper end."""
+        """Checks that a stream has each token once and one regular end."""
         self.assertEqual(200, got.status)
         self.assertIsNone(got.error)
         self.assertEqual(TOKENS, len(got.text.split(" ")), got.text)
@@ -49,16 +54,16 @@
         self.assertTrue(got.done)
 
     async def known(self, cluster: base.Cluster, name: str) -> None:
-        """Waits until an engine has been granted and has answered a call."""
+        """Sends probe calls until an engine has received one."""
 
         async def check() -> bool:
             await cluster.chat("entry-1", "berater", [base.user("probe")])
             return bool((await cluster.look(name))["seen"])
 
-        await base.until(check, f"{name} is known")
+        await base.until(check, f"{name} receives a call")
 
     async def effect(self, cluster: base.Cluster, key: str) -> None:
-        """Waits until a request has had its effect."""
+        """Waits until the service has recorded the effect of a request."""
 
         async def check() -> bool:
             seen = await cluster.look("service-1")
@@ -73,7 +78,7 @@
         key: str = "pay-1",
         **options: Any,
     ) -> replies.Reply:
-        """Makes a non-idempotent call."""
+        """Makes a non-idempotent service call."""
         headers = {"Idempotency-Key": key, "Catkinpin-Deadline-Ms": "8000"}
         headers |= options.pop("headers", {})
         return await cluster.call_service(
--- a/tests/hellos.py
+++ b/tests/hellos.py
@@ -1,4 +1,4 @@
-"""How processes of tests introduce themselves to others."""
+"""Hello messages that tests send as another process."""
 
 from __future__ import annotations
 
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,4 +1,4 @@
-"""Ports that no other test process takes."""
+"""Allocates free ports that no other test process uses."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 import socket
 import tempfile
 
-# Below the range from which the system takes ports for outgoing connections:
-# one of those could take a port between its choice and its use.
+# The range is below the system's ephemeral ports: an outgoing connection could
+# otherwise take a port after it was allocated and before it is bound.
 _FIRST_PORT = 10_000
-_PORTS = 20_000
+_PORT_COUNT = 20_000
 _next_port = itertools.count(os.getpid() * 101)
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports that are free now; none is returned twice."""
-    found: list[int] = []
-    while len(found) < count:
-        port = _FIRST_PORT + next(_next_port) % _PORTS
+    """Returns ports that are free now and reserved for this process."""
+    allocated: list[int] = []
+    while len(allocated) < count:
+        port = _FIRST_PORT + next(_next_port) % _PORT_COUNT
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind(("127.0.0.1", port))
             _reserve(port)
-            found.append(port)
-    return found
+            allocated.append(port)
+    return allocated
 
 
 def _reserve(port: int) -> None:
-    """Keeps a port from other test processes until this one ends.
+    """Locks a port against other test processes until this one exits.
 
-    Two of them could otherwise choose the same free port before either of
-    the processes that they start has bound it.
+    Two test processes could otherwise allocate the same free port before one
+    of their child processes has bound it.
 
     Raises:
-        OSError: another test process has it.
+        OSError: another test process has reserved it.
     """
     folder = pathlib.Path(tempfile.gettempdir()) / "catkinpin-ports"
     folder.mkdir(exist_ok=True)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a test."""
+"""Child processes that tests start."""
 
 from __future__ import annotations
 
@@ -9,11 +9,15 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-_STOP_S = 15.0
+_STOP_TIMEOUT_S = 15.0
 
 
 class Process:
-    """A child process that ends with the test."""
+    """A child process that runs a Python module.
+
+    Attributes:
+        log: file to which its output is appended.
+    """
 
     def __init__(self, module: str, args: list[str], log: pathlib.Path) -> None:
         self._command = [sys.executable, "-m", *module.split(), *args]
@@ -22,52 +26,59 @@
         self.start()
 
     def start(self) -> None:
-        """Starts the process, or starts it again with the same arguments."""
-        with self.log.open("ab") as out:
+        """Starts the process; a restart uses the same arguments."""
+        with self.log.open("ab") as log_file:
             self._popen = subprocess.Popen(
-                self._command, stdout=out, stderr=out, cwd=ROOT
+                self._command, stdout=log_file, stderr=log_file, cwd=ROOT
             )
 
     @property
     def pid(self) -> int:
-        """Id of the running process."""
+        """Process id."""
         assert self._popen is not None
         return self._popen.pid
 
     def exit_code(self) -> int | None:
-        """Returns the exit code, None while the process runs."""
+        """Returns the exit code, or None while the process runs."""
         assert self._popen is not None
         return self._popen.poll()
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal."""
+        """Sends a signal to the process."""
         os.kill(self.pid, number)
 
     def kill(self) -> None:
-        """Kills the process and waits until it is gone."""
+        """Kills the running process and waits until it has exited."""
         assert self._popen is not None
         self._popen.kill()
         self._popen.wait()
 
     def stop(self) -> int:
-        """Stops the process gracefully and returns its exit code."""
+        """Sends SIGTERM and returns the exit code.
+
+        Continues the process first, as a stopped one would not handle it.
+
+        Raises:
+            subprocess.TimeoutExpired: the process did not exit in time; it
+                has been killed.
+        """
         assert self._popen is not None
         if self._popen.poll() is None:
             self._popen.send_signal(signal.SIGCONT)
             self._popen.terminate()
         try:
-            return self._popen.wait(_STOP_S)
+            return self._popen.wait(_STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.kill()
             raise
 
     def wait(self) -> int:
-        """Waits until the process has ended and returns its exit code."""
+        """Waits until the process has exited and returns its exit code."""
         assert self._popen is not None
-        return self._popen.wait(_STOP_S)
+        return self._popen.wait(_STOP_TIMEOUT_S)
 
     def end(self) -> None:
-        """Ends the process in whatever state it is."""
+        """Kills the process if it still runs, and waits until it has exited."""
         assert self._popen is not None
         if self._popen.poll() is None:
             self._popen.kill()
--- a/tests/replies.py
+++ b/tests/replies.py
@@ -1,4 +1,4 @@
-"""Answers as callers got them."""
+"""HTTP responses as callers received them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 
 
 class Streamed:
-    """A streamed answer as its caller got it.
+    """A streamed model answer as its caller received it.
 
     Attributes:
-        fresh: whether the last line brought a token.
-        done: whether the stream ended as it should.
+        words: the tokens received so far.
+        error: error object of the stream, None if there was none.
+        finished: number of finish reasons received.
+        fresh: whether the last line contained a token.
+        done: whether the stream ended with `[DONE]`.
     """
 
     def __init__(self) -> None:
@@ -26,7 +29,7 @@
         self.fresh = False
 
     def feed(self, line: bytes) -> None:
-        """Takes a line of the stream."""
+        """Parses one line of the stream."""
         self.fresh = False
         if line == b"data: [DONE]":
             self.done = True
@@ -41,12 +44,12 @@
 
     @property
     def text(self) -> str:
-        """The answer's text."""
+        """The text received so far."""
         return "".join(self.words)
 
 
 class Reply:
-    """An HTTP answer that has been read to its end."""
+    """An HTTP response with its complete body."""
 
     def __init__(self, status: int, headers: Any, body: bytes) -> None:
         self.status = status
@@ -55,16 +58,16 @@
 
     @classmethod
     async def read(cls, resp: aiohttp.ClientResponse) -> Reply:
-        """Reads an answer."""
+        """Reads the body and returns the reply."""
         return cls(resp.status, resp.headers, await resp.read())
 
     @property
     def json(self) -> Any:
-        """The body as JSON."""
+        """The parsed JSON body."""
         return json.loads(self.body)
 
     @property
     def verdict(self) -> str:
-        """The verdict header."""
+        """Value of the verdict header, empty if it is absent."""
         value: str = self.headers.get("Catkinpin-Verdict", "")
         return value
