--- a/tests/cells.py
+++ b/tests/cells.py
@@ -9,12 +9,12 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-FAST = {"progress_timeout_ms": 600, "progress_timeout_low_ms": 200}
-AT_ONCE_S = 3.0
+SHORT_TIMEOUTS_MS = {"progress_timeout_ms": 600, "progress_timeout_low_ms": 200}
+PROMPT_REPLY_S = 3.0
 TOKENS = 20
 
 
-def at(number: int, act: Callable[[], Any]) -> Any:
+def call_at_token(number: int, act: Callable[[], Any]) -> Any:
     """Returns an `on_token` callback that calls `act` at token `number`."""
 
     async def on_token(count: int) -> None:
@@ -29,7 +29,7 @@
 class FaultsTest(base.TestCase):
     """Base class of the fault tests."""
 
-    def cell(
+    def run_on_cluster(
         self, body: Callable[[base.Cluster], Awaitable[None]], **parts: Any
     ) -> None:
         """Runs the body of a test on a new small cluster.
@@ -45,7 +45,7 @@
 
         self.run_async(main())
 
-    def assert_whole(self, got: replies.Streamed) -> None:
+    def assert_complete(self, got: replies.Streamed) -> None:
         """Checks that a stream has each token once and one regular end."""
         self.assertEqual(200, got.status)
         self.assertIsNone(got.error)
@@ -53,7 +53,7 @@
         self.assertEqual(1, got.finished)
         self.assertTrue(got.done)
 
-    async def known(self, cluster: base.Cluster, name: str) -> None:
+    async def wait_until_called(self, cluster: base.Cluster, name: str) -> None:
         """Sends probe calls until an engine has received one."""
 
         async def check() -> bool:
@@ -62,7 +62,7 @@
 
         await base.until(check, f"{name} receives a call")
 
-    async def effect(self, cluster: base.Cluster, key: str) -> None:
+    async def wait_for_effect(self, cluster: base.Cluster, key: str) -> None:
         """Waits until the service has recorded the effect of a request."""
 
         async def check() -> bool:
@@ -71,7 +71,7 @@
 
         await base.until(check, f"the effect of {key}")
 
-    async def pay(
+    async def call_pay(
         self,
         cluster: base.Cluster,
         entry: str = "entry-1",
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -33,17 +33,17 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=500)
-            call = asyncio.create_task(self.pay(cluster))
-            await self.effect(cluster, "pay-1")
+            call = asyncio.create_task(self.call_pay(cluster))
+            await self.wait_for_effect(cluster, "pay-1")
             cluster.processes["entry-1"].kill()
             await asyncio.gather(call, return_exceptions=True)
-            reply = await self.pay(cluster, "entry-2")
+            reply = await self.call_pay(cluster, "entry-2")
             self.assertEqual((200, "ran"), (reply.status, reply.verdict))
             self.assertEqual("pay-1", reply.json["done"])
             seen = await cluster.look("service-1")
             self.assertEqual(1, seen["effects"]["pay-1"])
 
-        self.cell(body, entries=2)
+        self.run_on_cluster(body, entries=2)
 
     def test_entry_and_leader_die_together(self) -> None:
         """Guards against a payment that is made twice or has no answer.
@@ -55,18 +55,18 @@
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=500)
             leader = await test_replicas.wait_leader(cluster)
-            call = asyncio.create_task(self.pay(cluster))
-            await self.effect(cluster, "pay-1")
+            call = asyncio.create_task(self.call_pay(cluster))
+            await self.wait_for_effect(cluster, "pay-1")
             cluster.processes["entry-1"].kill()
             cluster.processes[leader].kill()
             await asyncio.gather(call, return_exceptions=True)
             headers = {"Catkinpin-Deadline-Ms": "20000"}
-            reply = await self.pay(cluster, "entry-2", headers=headers)
+            reply = await self.call_pay(cluster, "entry-2", headers=headers)
             self.assertEqual((200, "pay-1"), (reply.status, reply.json["done"]))
             seen = await cluster.look("service-1")
             self.assertEqual(1, seen["effects"]["pay-1"])
 
-        self.cell(body, entries=2, replicas=3)
+        self.run_on_cluster(body, entries=2, replicas=3)
 
     def test_entry_dies_mid_stream(self) -> None:
         """Guards against an incomplete answer after an entry was killed.
@@ -78,15 +78,17 @@
         async def body(cluster: base.Cluster) -> None:
             prompt = [base.user("a")]
             headers = {"Idempotency-Key": "a"}
-            kill = cells.at(5, cluster.processes["entry-1"].kill)
+            kill = cells.call_at_token(5, cluster.processes["entry-1"].kill)
             with contextlib.suppress(aiohttp.ClientError):
                 await cluster.stream(
                     "entry-1", "berater", prompt, headers, kill
                 )
             got = await cluster.stream("entry-2", "berater", prompt, headers)
-            self.assert_whole(got)
+            self.assert_complete(got)
 
-        self.cell(body, entries=2, engines={"engine-1": {"token_ms": 20}})
+        self.run_on_cluster(
+            body, entries=2, engines={"engine-1": {"token_ms": 20}}
+        )
 
     def test_planned_stop_cuts_nothing(self) -> None:
         """Guards against calls in flight that a planned stop aborts.
@@ -107,7 +109,9 @@
 
             async def is_refused() -> bool:
                 late_replies.append(
-                    await self.pay(cluster, key=f"late-{len(late_replies)}")
+                    await self.call_pay(
+                        cluster, key=f"late-{len(late_replies)}"
+                    )
                 )
                 return late_replies[-1].status != 200
 
@@ -117,22 +121,22 @@
             got = await cluster.stream(
                 "entry-1", "berater", [base.user("a")], on_token=on_token
             )
-            self.assert_whole(got)
+            self.assert_complete(got)
             self.assertEqual(200, (await complete_call).status)
             self.assertEqual("stopping", late_replies[-1].json["error"]["code"])
             self.assertEqual("not-run", late_replies[-1].verdict)
             self.assertIn("Retry-After", late_replies[-1].headers)
             self.assertEqual(0, process.wait())
 
-        self.cell(body, engines={"engine-1": {"token_ms": 40}})
+        self.run_on_cluster(body, engines={"engine-1": {"token_ms": 40}})
 
     def test_reload_signal_ends_no_process(self) -> None:
         """Guards against SIGHUP's default action, which aborts calls."""
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=500)
-            call = asyncio.create_task(self.pay(cluster))
-            await self.effect(cluster, "pay-1")
+            call = asyncio.create_task(self.call_pay(cluster))
+            await self.wait_for_effect(cluster, "pay-1")
             for name in ("entry-1", "replica-1"):
                 process = cluster.processes[name]
                 process.signal(signal.SIGHUP)
@@ -142,7 +146,7 @@
                 await base.until(has_logged, "the process says what it does")
             self.assertEqual(200, (await call).status)
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_signals_at_the_end_of_a_stop_change_no_exit_code(self) -> None:
         """Guards against an orderly stop whose exit code reports a failure."""
@@ -156,7 +160,7 @@
                     await asyncio.sleep(0.002)
                 self.assertEqual(0, process.exit_code(), name)
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_second_signal_ends_at_once(self) -> None:
         """Guards against a stop that an operator can't shorten.
@@ -166,8 +170,8 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=60_000)
-            call = asyncio.create_task(self.pay(cluster))
-            await self.effect(cluster, "pay-1")
+            call = asyncio.create_task(self.call_pay(cluster))
+            await self.wait_for_effect(cluster, "pay-1")
             process = cluster.processes["entry-1"]
             process.signal(signal.SIGTERM)
             await base.until(
@@ -180,7 +184,7 @@
             self.assertEqual(5, process.stop())
             await asyncio.gather(call, return_exceptions=True)
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_stop_timeout_bounds_the_stop(self) -> None:
         """Guards against a stop that a hanging tool delays for ever.
@@ -191,12 +195,12 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=60_000)
-            call = asyncio.create_task(self.pay(cluster))
-            await self.effect(cluster, "pay-1")
+            call = asyncio.create_task(self.call_pay(cluster))
+            await self.wait_for_effect(cluster, "pay-1")
             self.assertEqual(4, cluster.processes["entry-1"].stop())
             await asyncio.gather(call, return_exceptions=True)
 
-        self.cell(body, stop_timeout_ms=500)
+        self.run_on_cluster(body, stop_timeout_ms=500)
 
     def test_caller_leaves_mid_stream(self) -> None:
         """Guards against generating an answer again for a resent request.
@@ -218,12 +222,14 @@
                     "entry-1", "berater", prompt, headers, disconnect
                 )
             got = await cluster.stream("entry-2", "berater", prompt, headers)
-            self.assert_whole(got)
+            self.assert_complete(got)
             seen = (await cluster.look("engine-1"))["seen"]
             sent_for_call = [one for one in seen if one["request_id"] == "a"]
             self.assertEqual(1, len(sent_for_call))
 
-        self.cell(body, entries=2, engines={"engine-1": {"token_ms": 20}})
+        self.run_on_cluster(
+            body, entries=2, engines={"engine-1": {"token_ms": 20}}
+        )
 
     def test_grant_that_comes_late_is_not_used(self) -> None:
         """Guards against using a grant that has expired.
@@ -236,12 +242,12 @@
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("replica-1-proxy", down_delay_ms=1_400)
             headers = {"Catkinpin-Deadline-Ms": "5000"}
-            reply = await self.pay(cluster, headers=headers)
+            reply = await self.call_pay(cluster, headers=headers)
             self.assertEqual("not-run", reply.verdict)
             seen = await cluster.look("service-1")
             self.assertNotIn("pay-1", seen["effects"])
 
-        self.cell(body, replicas_proxied=True)
+        self.run_on_cluster(body, replicas_proxied=True)
 
     async def _has_logged(self, process: processes.Process, text: str) -> bool:
         return text in process.log.read_text()
@@ -260,7 +266,7 @@
         async def body(cluster: base.Cluster) -> None:
             cluster.add_fake("engine", "engine-2")
             # Without another known server, calls would be refused correctly.
-            await self.known(cluster, "engine-2")
+            await self.wait_until_called(cluster, "engine-2")
             results: list[replies.Streamed] = []
             load_end_s = time.monotonic() + 3.5
 
@@ -282,13 +288,13 @@
                 *map(send_load, range(4)), announce_leave()
             )
             for got in results:
-                self.assert_whole(got)
+                self.assert_complete(got)
             seen = (await cluster.look("engine-1"))["seen"]
             self.assertTrue(seen)
             delays_s = [one["at"] - left_at for one in seen]
             self.assertLess(max(delays_s), 2.0)
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_server_returns_and_announces_twice(self) -> None:
         """Guards against a wrong verdict after a service has restarted.
@@ -300,21 +306,23 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=60_000)
-            call = asyncio.create_task(self.pay(cluster, key="old"))
-            await self.effect(cluster, "old")
+            call = asyncio.create_task(self.call_pay(cluster, key="old"))
+            await self.wait_for_effect(cluster, "old")
             cluster.processes["service-1"].kill()
             cluster.processes["service-1"].start()
             self.assertEqual("may-have-run", (await call).verdict)
 
             async def is_served() -> bool:
-                reply = await self.pay(cluster, key="new")
+                reply = await self.call_pay(cluster, key="new")
                 return reply.status == 200
 
             await base.until(is_served, "the new incarnation is served")
             seen = await cluster.look("service-1")
             self.assertEqual({"new": 1}, seen["effects"])
 
-        self.cell(body, entries=2, services={"service-1": {"announce_all": 1}})
+        self.run_on_cluster(
+            body, entries=2, services={"service-1": {"announce_all": 1}}
+        )
 
 
 class RelayFaultsTest(cells.FaultsTest):
@@ -377,11 +385,11 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=500)
-            call = asyncio.create_task(self.pay(cluster))
-            await self.effect(cluster, "pay-1")
+            call = asyncio.create_task(self.call_pay(cluster))
+            await self.wait_for_effect(cluster, "pay-1")
             cluster.processes["entry-1"].kill()
             await asyncio.gather(call, return_exceptions=True)
-            reply = await self.pay(cluster, "entry-3")
+            reply = await self.call_pay(cluster, "entry-3")
             self.assertEqual((200, "pay-1"), (reply.status, reply.json["done"]))
             seen = await cluster.look("service-1")
             self.assertEqual(1, seen["effects"]["pay-1"])
@@ -397,9 +405,9 @@
                 "entry-1",
                 "berater",
                 [base.user("a")],
-                on_token=cells.at(5, lambda: inject_fault(cluster)),
+                on_token=cells.call_at_token(5, lambda: inject_fault(cluster)),
             )
-            self.assert_whole(got)
+            self.assert_complete(got)
             seen = (await cluster.look("engine-1"))["seen"]
             attempts = [one["messages"] for one in seen]
             self.assertEqual(1, attempts.count([base.user("a")]))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -25,20 +25,20 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", cut="after")
-            reply = await self.pay(cluster, key="told", method="PUT")
+            reply = await self.call_pay(cluster, key="told", method="PUT")
             self.assertEqual((200, "ran"), (reply.status, reply.verdict))
             self.assertEqual("told", reply.json["done"])
             await cluster.steer("service-1", answers_attempts=False)
             began = time.monotonic()
-            reply = await self.pay(cluster, key="untold", method="PUT")
-            self.assertLess(time.monotonic() - began, cells.AT_ONCE_S)
+            reply = await self.call_pay(cluster, key="untold", method="PUT")
+            self.assertLess(time.monotonic() - began, cells.PROMPT_REPLY_S)
             self.assertEqual("may-have-run", reply.verdict)
             self.assertEqual("outcome-unknown", reply.json["error"]["code"])
             seen = await cluster.look("service-1")
             self.assertEqual(1, seen["effects"]["told"])
             self.assertEqual(1, seen["effects"]["untold"])
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_service_dies_after_the_effect(self) -> None:
         """Guards against charging a card again at another server.
@@ -52,9 +52,9 @@
             await cluster.steer("service-1", cut="kill")
             await cluster.steer("service-2", cut="kill")
             began = time.monotonic()
-            first = await self.pay(cluster)
-            self.assertLess(time.monotonic() - began, cells.AT_ONCE_S)
-            again = await self.pay(cluster)
+            first = await self.call_pay(cluster)
+            self.assertLess(time.monotonic() - began, cells.PROMPT_REPLY_S)
+            again = await self.call_pay(cluster)
             verdicts = [first.verdict, again.verdict]
             self.assertEqual(["may-have-run"] * 2, verdicts)
             lines = (self.folder / "effects").read_text().split()
@@ -62,7 +62,7 @@
 
         options = {"effects_file": self.folder / "effects"}
         services = {"service-1": options, "service-2": options}
-        self.cell(body, services=services)
+        self.run_on_cluster(body, services=services)
 
     def test_service_killed_before_the_request(self) -> None:
         """Guards against failing a request that was certainly not sent.
@@ -73,17 +73,17 @@
 
         async def body(cluster: base.Cluster) -> None:
             for number in range(4):
-                reply = await self.pay(cluster, key=f"before-{number}")
+                reply = await self.call_pay(cluster, key=f"before-{number}")
                 self.assertEqual(200, reply.status)
             cluster.processes["service-1"].kill()
             for number in range(4):
-                reply = await self.pay(cluster, key=f"after-{number}")
+                reply = await self.call_pay(cluster, key=f"after-{number}")
                 self.assertEqual(200, reply.status)
             seen = await cluster.look("service-2")
             for number in range(4):
                 self.assertEqual(1, seen["effects"][f"after-{number}"])
 
-        self.cell(body, services={"service-1": {}, "service-2": {}})
+        self.run_on_cluster(body, services={"service-1": {}, "service-2": {}})
 
     def test_answer_is_lost_on_a_silent_connection(self) -> None:
         """Guards against losing an answer on a connection that goes silent.
@@ -94,8 +94,8 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=300)
-            call = asyncio.create_task(self.pay(cluster))
-            await self.effect(cluster, "pay-1")
+            call = asyncio.create_task(self.call_pay(cluster))
+            await self.wait_for_effect(cluster, "pay-1")
             await cluster.steer("service-1-proxy", down_silent_open=True)
             reply = await call
             self.assertEqual((200, "pay-1"), (reply.status, reply.json["done"]))
@@ -103,7 +103,7 @@
             self.assertEqual(1, seen["effects"]["pay-1"])
 
         services = {"service-1": {"proxied": True}}
-        self.cell(body, services=services, **cells.FAST)
+        self.run_on_cluster(body, services=services, **cells.SHORT_TIMEOUTS_MS)
 
     def test_request_is_lost_on_a_silent_connection(self) -> None:
         """Guards against failing a request that was lost on its way.
@@ -115,7 +115,7 @@
 
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1-proxy", up_silent_next=1)
-            reply = await self.pay(cluster)
+            reply = await self.call_pay(cluster)
             self.assertEqual((200, "pay-1"), (reply.status, reply.json["done"]))
             seen = await cluster.look("service-1")
             second = await cluster.look("service-2")
@@ -123,7 +123,7 @@
             self.assertEqual(1, sum(e.get("pay-1", 0) for e in effects))
 
         services = {"service-1": {"proxied": True}, "service-2": {}}
-        self.cell(body, services=services, **cells.FAST)
+        self.run_on_cluster(body, services=services, **cells.SHORT_TIMEOUTS_MS)
 
     def test_tool_hangs_until_the_deadline(self) -> None:
         """Guards against waiting beyond the deadline for a hanging tool."""
@@ -132,12 +132,14 @@
             await cluster.steer("service-1", delay_ms=60_000)
             began = time.monotonic()
             headers = {"Catkinpin-Deadline-Ms": "700"}
-            reply = await self.pay(cluster, headers=headers)
-            self.assertLess(time.monotonic() - began, 0.7 + cells.AT_ONCE_S)
+            reply = await self.call_pay(cluster, headers=headers)
+            self.assertLess(
+                time.monotonic() - began, 0.7 + cells.PROMPT_REPLY_S
+            )
             self.assertEqual("may-have-run", reply.verdict)
             self.assertEqual("deadline", reply.json["error"]["code"])
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_answers_are_crossed(self) -> None:
         """Guards against passing another call's answer to a caller.
@@ -149,16 +151,16 @@
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", cross=True)
             await cluster.steer("engine-1", cross=True)
-            reply = await self.pay(cluster)
+            reply = await self.call_pay(cluster)
             self.assertEqual("pay-1", reply.json["done"])
             got = await cluster.stream(
                 "entry-1", "berater", [base.user("crossed")]
             )
-            self.assert_whole(got)
+            self.assert_complete(got)
             seen = await cluster.look("service-1")
             self.assertEqual(1, seen["effects"]["pay-1"])
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
 
 class StreamFaultsTest(cells.FaultsTest):
@@ -173,9 +175,9 @@
 
         async def body(cluster: base.Cluster) -> None:
             got = await self._stream_with_takeover(cluster, "a", salt="")
-            self.assert_whole(got)
+            self.assert_complete(got)
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_engine_that_answers_differently_takes_over(self) -> None:
         """Guards against an answer that is joined from two different texts.
@@ -199,7 +201,7 @@
             self.assertEqual(cells.TOKENS, len(text.split(" ")))
             self.assertNotEqual(got.text, text[: len(got.text)])
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_connection_is_reset_mid_stream(self) -> None:
         """Guards against computing a prompt again after a connection reset.
@@ -211,12 +213,12 @@
         async def body(cluster: base.Cluster) -> None:
             await cluster.steer("engine-1", cut_after=7)
             got = await cluster.stream("entry-1", "berater", [base.user("a")])
-            self.assert_whole(got)
+            self.assert_complete(got)
             seen = await cluster.look("engine-1")
             attempt = seen["seen"][-1]["attempt"]
             self.assertEqual([[attempt, 7]], seen["resumed"])
 
-        self.cell(body)
+        self.run_on_cluster(body)
 
     def test_connection_goes_silent_mid_stream(self) -> None:
         """Guards against waiting until the deadline on a silent connection.
@@ -227,7 +229,7 @@
         """
 
         async def body(cluster: base.Cluster) -> None:
-            drop_responses = cells.at(
+            drop_responses = cells.call_at_token(
                 5,
                 lambda: cluster.steer("engine-1-proxy", down_silent_open=True),
             )
@@ -235,13 +237,13 @@
             got = await cluster.stream(
                 "entry-1", "berater", [base.user("a")], on_token=drop_responses
             )
-            self.assert_whole(got)
-            self.assertLess(time.monotonic() - began, cells.AT_ONCE_S)
+            self.assert_complete(got)
+            self.assertLess(time.monotonic() - began, cells.PROMPT_REPLY_S)
             seen = await cluster.look("engine-1")
             self.assertEqual(1, len(seen["resumed"]))
 
         engines = {"engine-1": {"proxied": True, "token_ms": 20}}
-        self.cell(body, engines=engines, **cells.FAST)
+        self.run_on_cluster(body, engines=engines, **cells.SHORT_TIMEOUTS_MS)
 
     def test_engine_is_suspended_and_resumed(self) -> None:
         """Guards against an incomplete answer when an engine is suspended.
@@ -252,7 +254,9 @@
 
         async def body(cluster: base.Cluster) -> None:
             process = cluster.processes["engine-1"]
-            suspend = cells.at(5, lambda: process.signal(signal.SIGSTOP))
+            suspend = cells.call_at_token(
+                5, lambda: process.signal(signal.SIGSTOP)
+            )
             cluster.add_fake("engine", "engine-2")
             asyncio.get_running_loop().call_later(
                 2.5, process.signal, signal.SIGCONT
@@ -260,10 +264,10 @@
             got = await cluster.stream(
                 "entry-1", "berater", [base.user("a")], on_token=suspend
             )
-            self.assert_whole(got)
+            self.assert_complete(got)
 
         engines = {"engine-1": {"token_ms": 20}}
-        self.cell(body, engines=engines, **cells.FAST)
+        self.run_on_cluster(body, engines=engines, **cells.SHORT_TIMEOUTS_MS)
 
     async def _stream_with_takeover(
         self, cluster: base.Cluster, key: str, salt: str
@@ -276,7 +280,7 @@
         async def on_token(count: int) -> None:
             if count == 8:
                 await cluster.steer("engine-2", refuse=False)
-                await self.known(cluster, "engine-2")
+                await self.wait_until_called(cluster, "engine-2")
                 cluster.processes["engine-1"].kill()
 
         return await cluster.stream(
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -50,7 +50,7 @@
 
         self.run_async(run_cluster())
 
-    async def pay(self, cluster: base.Cluster, order: str) -> None:
+    async def call_pay(self, cluster: base.Cluster, order: str) -> None:
         """Makes a call that must not be repeated, and checks its answer."""
         reply = await cluster.call_service(
             "entry-1",
@@ -67,7 +67,7 @@
     ) -> None:
         """Checks that repeated calls get an answer and ran only once."""
         for order in orders:
-            await self.pay(cluster, order)
+            await self.call_pay(cluster, order)
         effects = (await cluster.look("service-1"))["effects"]
         self.assertEqual([1] * len(orders), [effects[o] for o in orders])
 
@@ -78,15 +78,15 @@
         """
 
         async def main(cluster: base.Cluster) -> None:
-            await self.pay(cluster, "before")
+            await self.call_pay(cluster, "before")
             await cluster.steer("service-1", delay_ms=300)
-            call = asyncio.create_task(self.pay(cluster, "during"))
+            call = asyncio.create_task(self.call_pay(cluster, "during"))
             await wait_running(cluster, "during")
             leader = await wait_leader(cluster)
             cluster.processes[leader].kill()
             await call
             await cluster.steer("service-1", delay_ms=0)
-            await self.pay(cluster, "after")
+            await self.call_pay(cluster, "after")
             await self.check_paid_once(cluster, "before", "during", "after")
             cluster.processes[leader].start()
             await cluster.ready(leader)
@@ -101,13 +101,13 @@
 
         async def main(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=300)
-            call = asyncio.create_task(self.pay(cluster, "during"))
+            call = asyncio.create_task(self.call_pay(cluster, "during"))
             await wait_running(cluster, "during")
             old = await wait_leader(cluster)
             cluster.processes[old].signal(signal.SIGSTOP)
             await call
             await cluster.steer("service-1", delay_ms=0)
-            await self.pay(cluster, "frozen")
+            await self.call_pay(cluster, "frozen")
             new = await wait_leader(cluster, excluded=old)
             cluster.processes[old].signal(signal.SIGCONT)
             await cluster.ready(old)
@@ -127,7 +127,7 @@
         async def main(cluster: base.Cluster) -> None:
             await cluster.steer("service-1", delay_ms=2_500)
             calls = [
-                asyncio.create_task(self.pay(cluster, f"order-{number}"))
+                asyncio.create_task(self.call_pay(cluster, f"order-{number}"))
                 for number in range(_SERVICE_CAPACITY + 1)
             ]
             await wait_running(cluster, "order-0")
@@ -156,7 +156,7 @@
             leader = await wait_leader(cluster)
             others = [name for name in _NAMES if name != leader]
             await cluster.steer("service-1", delay_ms=300)
-            call = asyncio.create_task(self.pay(cluster, "during"))
+            call = asyncio.create_task(self.call_pay(cluster, "during"))
             await wait_running(cluster, "during")
             for name in others:
                 cluster.processes[name].signal(signal.SIGSTOP)
@@ -193,7 +193,7 @@
             number = 0
             while not stop.done() or number < 20:
                 start_s = time.monotonic()
-                await self.pay(cluster, f"order-{number}")
+                await self.call_pay(cluster, f"order-{number}")
                 slowest_s = max(slowest_s, time.monotonic() - start_s)
                 number += 1
             self.assertEqual(0, await stop)
@@ -211,10 +211,10 @@
         """
 
         async def main(cluster: base.Cluster) -> None:
-            await self.pay(cluster, "before")
+            await self.call_pay(cluster, "before")
             old = await wait_leader(cluster)
             await cluster.steer(f"proxy-{old}", up_silent=True)
-            await self.pay(cluster, "cut")
+            await self.call_pay(cluster, "cut")
             await wait_leader(cluster, excluded=old)
             await cluster.steer(f"proxy-{old}", up_silent=False)
             await cluster.ready(old)
@@ -233,7 +233,7 @@
         async def main(cluster: base.Cluster) -> None:
             orders = [f"order-{n}" for n in range(20)]
             for order in orders:
-                await self.pay(cluster, order)
+                await self.call_pay(cluster, order)
             lost = await wait_leader(cluster)
             restart_empty(cluster, lost)
             code, out = await repair(cluster, lost)
@@ -256,7 +256,7 @@
 
         async def main(cluster: base.Cluster) -> None:
             for number in range(5):
-                await self.pay(cluster, f"order-{number}")
+                await self.call_pay(cluster, f"order-{number}")
             process = cluster.processes["replica-3"]
             process.kill()
             damage(min((self.folder / "replica-3" / "log").iterdir()))
@@ -268,7 +268,7 @@
             await base.until(ended, "the replica stops by itself")
             self.assertEqual(EXIT_STORAGE_ERROR, process.exit_code())
             self.assertIn("catkinpin repair", process.log.read_text())
-            await self.pay(cluster, "with-two")
+            await self.call_pay(cluster, "with-two")
 
         self.start(main, proxied=False)
 
@@ -287,7 +287,7 @@
                     return "catkinpin repair" in await resp.text()
 
             await base.until(says_why, "the replica asks for a repair")
-            await self.pay(cluster, "with-two")
+            await self.call_pay(cluster, "with-two")
 
         self.start(main, proxied=False)
 
