--- a/tests/fakes/common.py
+++ b/tests/fakes/common.py
@@ -1,4 +1,4 @@
-"""What the fakes share: arguments, announcing and running."""
+"""Shared parts of the fake servers: flags, announcements, serving."""
 
 from __future__ import annotations
 
@@ -16,11 +16,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-ANNOUNCE_EVERY_S = 0.3
+ANNOUNCE_INTERVAL_S = 0.3
 
 
 def arguments(**defaults: Any) -> argparse.Namespace:
-    """Parses flags, one for each default given."""
+    """Parses the command line.
+
+    Args:
+        **defaults: default of each flag by its name, with `_` for `-`. A flag
+            has the type of its default, or is a string if that is None.
+    """
     parser = argparse.ArgumentParser()
     for name, default in defaults.items():
         kind = str if default is None else type(default)
@@ -36,7 +41,15 @@
     *,
     everywhere: bool = False,
 ) -> None:
-    """Announces to the first entry that answers or to all, for ever."""
+    """Sends announcements and cache events until cancelled.
+
+    Args:
+        entries: admin addresses of the entries.
+        make: returns the announcement, or None to send none.
+        make_events: returns the cache events, or None to send none.
+        everywhere: whether to send to every entry before the usual sending
+            to the first entry that accepts it.
+    """
     timeout = aiohttp.ClientTimeout(total=1)
     async with aiohttp.ClientSession(timeout=timeout) as http:
         while True:
@@ -46,12 +59,13 @@
                     for entry in entries if everywhere else []:
                         await _send(http, [entry], url, body)
                     await _send(http, entries, url, body)
-            await asyncio.sleep(ANNOUNCE_EVERY_S)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_S)
 
 
 async def _send(
     http: aiohttp.ClientSession, entries: list[str], path: str, body: Any
 ) -> None:
+    """Posts to the first entry that accepts the request."""
     for entry in entries:
         with contextlib.suppress(aiohttp.ClientError, TimeoutError):
             async with http.post(f"http://{entry}{path}", json=body) as resp:
@@ -60,7 +74,7 @@
 
 
 async def serve(app: web.Application, port: int) -> None:
-    """Serves on the loopback address until SIGTERM."""
+    """Serves an application on loopback until SIGTERM."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
@@ -72,10 +86,10 @@
 
 
 def run(main: Any) -> None:
-    """Runs a fake's main coroutine."""
+    """Runs the main coroutine of a fake server."""
     uvloop.run(main)
 
 
 def new_incarnation() -> str:
-    """Returns an id for this life of the process."""
+    """Returns a new id for a run of the process."""
     return uuid.uuid4().hex
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -1,11 +1,12 @@
-"""A model engine: continuous batching and a limited prefix cache.
+"""Fake model engine with continuous batching and a limited prefix cache.
 
-Speaks the OpenAI chat protocol with the extensions of docs/user/servers.md:
-priorities, resume and cancel by attempt id, release, export and import of a
-program's prefix. Steered at `/fake`.
+Implements the OpenAI chat protocol with the extensions of
+docs/user/servers.md: priorities, resume and cancel by attempt id, release,
+export and import of a program's prefix. Tests change its settings and read
+its state at `/fake`.
 
-The tokens of an answer are words drawn from the prompt's digest, so that the
-same prompt always gets the same answer.
+The words of an answer are selected by the prompt's digest, so the same prompt
+always gets the same answer.
 """
 
 from __future__ import annotations
@@ -27,11 +28,18 @@
     "blank", "cut", "order", "check", "alert",
 )  # fmt: skip
 _BYTES_PER_TOKEN = 4
-_END = b"data: [DONE]\n\n"
+_END_OF_STREAM = b"data: [DONE]\n\n"
 
 
 class Attempt:
-    """One running or ended generation."""
+    """A running or finished generation.
+
+    Attributes:
+        prompt: the messages as JSON.
+        words: the tokens generated so far.
+        cached_tokens: tokens of the prompt that were cached.
+        grew: set when there is a new token, and at the end.
+    """
 
     def __init__(
         self, attempt: str, program: str, prompt: list[str], model: str
@@ -47,14 +55,29 @@
         self.grew = asyncio.Event()
 
     def state(self) -> str:
-        """Returns how far the generation is."""
+        """Returns `done`, `running` or, before the first token, `waiting`."""
         if self.done:
             return "done"
         return "running" if self.words else "waiting"
 
 
 class Engine:
-    """State of the fake; `settings` can be changed while it runs."""
+    """State of the fake engine.
+
+    Attributes:
+        settings: faults and delays; tests change them while it runs.
+        events: cache events that are not sent yet.
+        loads: past loads: time, running and waiting requests.
+        cache: messages of each cached prefix by program, least recently used
+            first.
+        waiting: queue of the batch: negated priority, arrival, slot.
+        barred: attempts that must not run, as an entry was told that they
+            did not.
+        resumed: attempt and offset of each resumed stream.
+        seen: the chat requests received.
+        orders: the orders carried out.
+        fence: highest fencing number received.
+    """
 
     def __init__(self, args: Any) -> None:
         self.args = args
@@ -92,10 +115,10 @@
         self.fence = 0
 
     def report(self) -> dict[str, Any] | None:
-        """Returns the announcement, or None while silent."""
+        """Returns the announcement, or None if announcing is switched off."""
         if not self.settings["announce"]:
             return None
-        lie = self.settings["lie_running"]
+        reported_running = self.settings["lie_running"]
         running, waiting = self.lagged_load()
         return {
             "server": self.args.name,
@@ -108,7 +131,7 @@
             "region": self.args.region,
             "capacity": self.args.capacity,
             "cache_tokens": self.args.cache_tokens,
-            "running": running if lie < 0 else lie,
+            "running": running if reported_running < 0 else reported_running,
             "waiting": waiting,
             "leaving": self.settings["leaving"],
             "honours_fencing": bool(self.args.honours_fencing),
@@ -117,7 +140,7 @@
         }
 
     def lagged_load(self) -> tuple[int, int]:
-        """Returns the load as it was a setting's time ago."""
+        """Returns the running and waiting requests `load_lag_ms` ago."""
         now = time.monotonic()
         self.loads.append((now, self.running, len(self.waiting)))
         oldest = now - self.settings["load_lag_ms"] / 1000
@@ -126,12 +149,12 @@
         return self.loads[0][1:]
 
     def note_event(self, kind: str, program: str) -> None:
-        """Numbers a cache event; some are lost, all are sent late."""
+        """Numbers and queues a cache event, or drops it by the setting."""
         self.event_seq += 1
         every = self.settings["events_drop_every"]
         if every and self.event_seq % every == 0:
             return
-        held = sum(map(tokens, self.cache.get(program, [])))
+        held = sum(map(count_tokens, self.cache.get(program, [])))
         self.events.append(
             {
                 "seq": self.event_seq,
@@ -143,7 +166,7 @@
         )
 
     def due_events(self) -> dict[str, Any] | None:
-        """Returns the cache events whose time to be sent has come."""
+        """Returns the events that are `events_lag_ms` old, None if none is."""
         limit = time.monotonic() - self.settings["events_lag_ms"] / 1000
         due = [event for event in self.events if event["at"] <= limit]
         self.events = [event for event in self.events if event["at"] > limit]
@@ -158,57 +181,59 @@
             ],
         }
 
-    async def admit(self, priority: int) -> None:
-        """Waits for a place in the batch; higher priorities go first."""
+    async def acquire_slot(self, priority: int) -> None:
+        """Waits for a slot of the batch; a higher priority goes first."""
         if self.running < self.args.capacity:
             self.running += 1
             return
         self.arrivals += 1
-        place = asyncio.get_running_loop().create_future()
-        self.waiting.append((-priority, self.arrivals, place))
-        await place
+        slot = asyncio.get_running_loop().create_future()
+        self.waiting.append((-priority, self.arrivals, slot))
+        await slot
 
-    def leave(self) -> None:
-        """Hands the place in the batch on."""
+    def release_slot(self) -> None:
+        """Passes the slot to the next waiting request, or frees it."""
         self.waiting.sort(key=lambda item: item[:2])
         while self.waiting:
-            place = self.waiting.pop(0)[2]
-            if not place.done():
-                place.set_result(None)
+            slot = self.waiting.pop(0)[2]
+            if not slot.done():
+                slot.set_result(None)
                 return
         self.running -= 1
 
-    def match(self, program: str, prompt: list[str]) -> int:
-        """Returns the tokens of the prompt that the cache holds."""
+    def count_cached_tokens(self, program: str, prompt: list[str]) -> int:
+        """Returns the number of tokens of the prompt that are cached."""
         held = self.cache.get(program, [])
-        same = 0
-        for ours, theirs in zip(held, prompt, strict=False):
-            if ours != theirs:
+        matching = 0
+        for cached, asked in zip(held, prompt, strict=False):
+            if cached != asked:
                 break
-            same += tokens(ours)
-        return same
+            matching += count_tokens(cached)
+        return matching
 
-    def keep(self, program: str, messages: list[str]) -> None:
-        """Caches a program's prefix; the least recently used goes first."""
+    def cache_prefix(self, program: str, messages: list[str]) -> None:
+        """Caches a program's prefix and evicts the least recently used."""
         self.cache[program] = messages
         self.cache.move_to_end(program)
         self.note_event("held", program)
         limit = self.args.cache_tokens
-        while sum(map(total, self.cache.values())) > limit:
+        while sum(map(count_all_tokens, self.cache.values())) > limit:
             evicted, _ = self.cache.popitem(last=False)
             self.note_event("evicted", evicted)
             if not self.cache:
                 break
 
-    async def generate(self, attempt: Attempt, most: int) -> None:
-        """Generates an answer; goes on when its connection breaks."""
-        attempt.cached_tokens = self.match(attempt.program, attempt.prompt)
-        new = total(attempt.prompt) - attempt.cached_tokens
+    async def generate(self, attempt: Attempt, max_tokens: int) -> None:
+        """Generates an answer, also after its connection was lost."""
+        attempt.cached_tokens = self.count_cached_tokens(
+            attempt.program, attempt.prompt
+        )
+        new = count_all_tokens(attempt.prompt) - attempt.cached_tokens
         await asyncio.sleep(new * self.args.prefill_us / 1e6)
         text = self.args.salt + "".join(attempt.prompt)
         seed = hashlib.sha256(text.encode()).digest()
-        wanted = min(most, self.args.answer_tokens)
-        for i in range(wanted):
+        token_count = min(max_tokens, self.args.answer_tokens)
+        for i in range(token_count):
             if attempt.cancelled:
                 break
             await asyncio.sleep(self.args.token_ms / 1000)
@@ -223,17 +248,17 @@
         attempt.grew.set()
 
 
-def tokens(message: str) -> int:
+def count_tokens(message: str) -> int:
     """Returns the number of tokens of a message."""
     return max(1, len(message) // _BYTES_PER_TOKEN)
 
 
-def total(messages: list[str]) -> int:
-    """Returns the number of tokens of messages."""
-    return sum(map(tokens, messages))
+def count_all_tokens(messages: list[str]) -> int:
+    """Returns the number of tokens of all messages."""
+    return sum(map(count_tokens, messages))
 
 
-def event(attempt: Attempt, **fields: Any) -> bytes:
+def encode_chunk(attempt: Attempt, **fields: Any) -> bytes:
     """Returns a `chat.completion.chunk` event."""
     body = {
         "id": f"chatcmpl-{attempt.attempt}",
@@ -248,7 +273,7 @@
 async def stream(
     engine: Engine, req: web.Request, attempt: Attempt, at: int
 ) -> web.StreamResponse:
-    """Streams an attempt's tokens from offset `at` to its end."""
+    """Streams the tokens of an attempt from offset `at` to the end."""
     named = attempt.attempt
     if engine.settings["cross"]:
         engine.settings["cross"] = False
@@ -266,7 +291,7 @@
         while at < len(attempt.words):
             delta = {"role": "assistant", "content": attempt.words[at]}
             choice = {"index": 0, "delta": delta, "finish_reason": None}
-            await resp.write(event(attempt, choices=[choice]))
+            await resp.write(encode_chunk(attempt, choices=[choice]))
             at += 1
             if at == engine.settings["cut_after"]:
                 engine.settings["cut_after"] = -1
@@ -278,15 +303,15 @@
         attempt.grew.clear()
         await attempt.grew.wait()
     choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
-    await resp.write(event(attempt, choices=[choice]))
+    await resp.write(encode_chunk(attempt, choices=[choice]))
     usage = {
-        "prompt_tokens": total(attempt.prompt),
+        "prompt_tokens": count_all_tokens(attempt.prompt),
         "completion_tokens": len(attempt.words),
-        "total_tokens": total(attempt.prompt) + len(attempt.words),
+        "total_tokens": count_all_tokens(attempt.prompt) + len(attempt.words),
         "prompt_tokens_details": {"cached_tokens": attempt.cached_tokens},
     }
-    await resp.write(event(attempt, choices=[], usage=usage))
-    await resp.write(_END)
+    await resp.write(encode_chunk(attempt, choices=[], usage=usage))
+    await resp.write(_END_OF_STREAM)
     return resp
 
 
@@ -311,14 +336,20 @@
                 "at": time.time(),
             }
         )
-        poison = engine.settings["crash_on"]
-        if poison and poison in "".join(prompt):
+        crash_text = engine.settings["crash_on"]
+        if crash_text and crash_text in "".join(prompt):
             os._exit(9)
         named = req.headers.get("Catkinpin-Attempt", "")
-        meant = req.headers.get("Catkinpin-Incarnation", engine.incarnation)
+        incarnation = req.headers.get(
+            "Catkinpin-Incarnation", engine.incarnation
+        )
         leaving = engine.settings["leaving"] and not engine.settings["lenient"]
-        refuses = engine.settings["refuse"] or leaving
-        if refuses or named in engine.barred or meant != engine.incarnation:
+        refused = engine.settings["refuse"] or leaving
+        if (
+            refused
+            or named in engine.barred
+            or incarnation != engine.incarnation
+        ):
             return web.json_response(
                 {"error": "no new work"},
                 status=503,
@@ -332,20 +363,20 @@
         )
         engine.attempts[attempt.attempt] = attempt
         priority = int(req.headers.get("Catkinpin-Priority", "0"))
-        await engine.admit(priority)
+        await engine.acquire_slot(priority)
 
         async def work() -> None:
             try:
-                most = body.get("max_tokens") or 64
-                await engine.generate(attempt, most)
+                max_tokens = body.get("max_tokens") or 64
+                await engine.generate(attempt, max_tokens)
                 answer = {
                     "content": "".join(attempt.words),
                     "role": "assistant",
                 }
-                said = json.dumps(answer, sort_keys=True)
-                engine.keep(program, [*prompt, said])
+                answer_text = json.dumps(answer, sort_keys=True)
+                engine.cache_prefix(program, [*prompt, answer_text])
             finally:
-                engine.leave()
+                engine.release_slot()
 
         task = asyncio.create_task(work())
         background.add(task)
@@ -393,14 +424,14 @@
     async def import_(req: web.Request) -> web.Response:
         body = await req.json()
         if body["kv"]:
-            engine.keep(body["program"], body["kv"])
+            engine.cache_prefix(body["program"], body["kv"])
         return web.json_response({})
 
     @routes.post("/v1/orders")
     async def order(req: web.Request) -> web.Response:
         body = await req.json()
-        old = body.get("fence", 0) < engine.fence
-        if old and engine.args.honours_fencing:
+        stale = body.get("fence", 0) < engine.fence
+        if stale and engine.args.honours_fencing:
             return web.json_response({"fence": engine.fence}, status=409)
         engine.fence = max(engine.fence, body.get("fence", 0))
         engine.orders.append(body)
@@ -431,7 +462,7 @@
 
 
 async def main() -> None:
-    """Runs the engine."""
+    """Runs the fake engine until SIGTERM."""
     args = common.arguments(
         name="engine-1",
         port=0,
--- a/tests/fakes/service.py
+++ b/tests/fakes/service.py
@@ -1,7 +1,8 @@
-"""A plain service that counts its effects by request id.
+"""Fake application service that counts its effects by request id.
 
-Steered at `/fake`: it can answer late, crash on a text, break off the
-connection before or after the effect, die after it, or answer another attempt.
+Tests change its settings at `/fake`: it can answer late, crash on a text,
+abort the connection before or after the effect, exit after the effect, or
+answer with the id of another attempt.
 """
 
 from __future__ import annotations
@@ -17,7 +18,18 @@
 
 
 class Service:
-    """State of the fake; `settings` can be changed while it runs."""
+    """State of the fake service.
+
+    Attributes:
+        effects: number of effects of each request id.
+        order: program and request id of each effect, in order.
+        begun: attempts that started to run.
+        answers: answer of each attempt that has one.
+        barred: attempts that must not run, as an entry was told that they
+            did not.
+        asked: attempts whose outcome was asked for.
+        settings: faults and delays; tests change them while it runs.
+    """
 
     def __init__(self, args: Any) -> None:
         self.args = args
@@ -40,13 +52,13 @@
         }
 
     def note_effect(self, request_id: str) -> None:
-        """Writes an effect to a file that outlives this process."""
+        """Appends an effect to the effects file, which outlives the process."""
         if self.args.effects_file:
-            with open(self.args.effects_file, "a", encoding="utf-8") as out:
-                out.write(request_id + "\n")
+            with open(self.args.effects_file, "a", encoding="utf-8") as file:
+                file.write(request_id + "\n")
 
     def report(self) -> dict[str, Any] | None:
-        """Returns the announcement, or None while silent."""
+        """Returns the announcement, or None if announcing is switched off."""
         if not self.settings["announce"]:
             return None
         return {
@@ -84,7 +96,7 @@
             }
         )
 
-    def about(attempt: str, state: str) -> dict[str, str]:
+    def attempt_headers(attempt: str, state: str) -> dict[str, str]:
         return {
             "Catkinpin-Attempt": attempt,
             "Catkinpin-Incarnation": service.incarnation,
@@ -99,14 +111,19 @@
             raise web.HTTPNotFound
         if attempt in service.answers:
             return web.json_response(
-                service.answers[attempt], headers=about(attempt, "done")
+                service.answers[attempt],
+                headers=attempt_headers(attempt, "done"),
             )
         if attempt in service.begun:
-            return web.json_response({}, headers=about(attempt, "running"))
-        # Whoever was told that it did not run may run it elsewhere: a copy
-        # that is still on its way must not run here.
+            return web.json_response(
+                {}, headers=attempt_headers(attempt, "running")
+            )
+        # The entry may now run the call at another server, so a copy of
+        # this attempt that arrives later must not run here.
         service.barred.add(attempt)
-        headers = about(attempt, "") | {"Catkinpin-Verdict": "not-run"}
+        headers = attempt_headers(attempt, "") | {
+            "Catkinpin-Verdict": "not-run"
+        }
         return web.json_response({}, status=404, headers=headers)
 
     @routes.route("*", "/{path:.*}")
@@ -115,8 +132,10 @@
         settings = service.settings
         request_id = req.headers.get("Idempotency-Key", "")
         attempt = req.headers.get("Catkinpin-Attempt", "")
-        meant = req.headers.get("Catkinpin-Incarnation", service.incarnation)
-        if attempt in service.barred or meant != service.incarnation:
+        incarnation = req.headers.get(
+            "Catkinpin-Incarnation", service.incarnation
+        )
+        if attempt in service.barred or incarnation != service.incarnation:
             headers = {"Catkinpin-Verdict": "not-run"}
             return web.json_response({}, status=409, headers=headers)
         if settings["crash_on"] and settings["crash_on"] in text:
@@ -139,7 +158,7 @@
         if settings["cut"] == "after":
             assert req.transport is not None
             req.transport.abort()
-        headers = about(attempt, "done")
+        headers = attempt_headers(attempt, "done")
         if settings["cross"]:
             settings["cross"] = False
             headers["Catkinpin-Attempt"] = "another"
@@ -152,7 +171,7 @@
 
 
 async def main() -> None:
-    """Runs the service."""
+    """Runs the fake service until SIGTERM."""
     args = common.arguments(
         name="service-1",
         port=0,
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,10 +1,11 @@
-"""Random faults against real processes under load: `make soak`.
-
-Callers run kiosk orders and short model programs through all entries while
-processes are killed, frozen and stopped, one fault at a time by a seed; a
-third argument names those to keep, as in `freeze entry`. What the service saw
-and what callers got decides. Times differ from run to run, so this is no test
-of CI.
+"""Injects random faults into real processes under load: `make soak`.
+
+Callers send kiosk orders and short model programs through all entries while
+processes are killed, frozen and stopped, one fault at a time. The seed selects
+the faults; the third argument restricts them to those whose name contains it,
+as in `freeze entry`. The run fails if the effects that the service recorded
+contradict the replies that callers received. The timing differs between runs,
+so CI does not run this.
 """
 
 from __future__ import annotations
@@ -28,12 +29,12 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-_CALLERS = 12
-_STEPS = 4
-_TRIES = 40
+_CALLER_COUNT = 12
+_CALLS_PER_PROGRAM = 4
+_MAX_ATTEMPTS = 40
 _DEADLINE_MS = 15_000
-_SLOW_S = 6.0
-_SLOWEST_S = _DEADLINE_MS / 1000 + 1.0
+_SLOW_CALL_S = 6.0
+_MAX_CALL_S = _DEADLINE_MS / 1000 + 1.0
 _ENTRIES = ("entry-1", "entry-2", "entry-3")
 _REPLICAS = ("replica-1", "replica-2", "replica-3")
 _ENGINES = ("engine-1", "engine-2")
@@ -41,7 +42,17 @@
 
 @dataclasses.dataclass
 class Findings:
-    """What was seen, and what must not have been."""
+    """Results of a run.
+
+    Attributes:
+        answered: number of calls with status 200.
+        unknown: number of calls that may have run.
+        resent: number of times that a request was sent again.
+        problems: violations; each makes the run fail.
+        final: last verdict of each request.
+        slow: calls that exceeded `_SLOW_CALL_S`.
+        slowest_s: longest time of a call.
+    """
 
     answered: int = 0
     unknown: int = 0
@@ -53,7 +64,14 @@
 
 
 class Soak:
-    """A cluster under load and faults."""
+    """Runs load and faults on a cluster.
+
+    Attributes:
+        only: text that the name of a fault must contain; empty for all.
+        until: monotonic time at which the run ends.
+        found: the results.
+        faults: names of the injected faults.
+    """
 
     def __init__(
         self, cluster: base.Cluster, seed: int, until: float, only: str
@@ -66,36 +84,42 @@
         self.faults: list[str] = []
 
     async def caller(self, number: int) -> None:
-        """Runs programs one after the other."""
+        """Runs programs one after another until the end of the run."""
         rng = random.Random(f"{number}")
         program = 0
         while time.monotonic() < self.until:
             program += 1
             name = f"c{number}-{program}"
             history: list[Any] = []
-            for step in range(_STEPS):
+            for step in range(_CALLS_PER_PROGRAM):
                 if step % 2:
-                    await self._model(rng, name, history, step)
-                elif not await self._service(rng, name, step):
+                    await self._call_model(rng, name, history, step)
+                elif not await self._call_service(rng, name, step):
                     break
 
-    async def _service(self, rng: random.Random, name: str, step: int) -> bool:
+    async def _call_service(
+        self, rng: random.Random, name: str, step: int
+    ) -> bool:
         request = f"{name}-{step}"
         headers = {"Catkinpin-Program": name, "Idempotency-Key": request}
 
         async def call(entry: str) -> replies.Reply:
             return await self.cluster.call_service(
-                entry, "kiosk-app", "pay", request, headers=self._all(headers)
+                entry,
+                "kiosk-app",
+                "pay",
+                request,
+                headers=self._with_deadline(headers),
             )
 
-        reply = await self._until_final(rng, call, request)
+        reply = await self._send_until_final(rng, call, request)
         if reply is None:
             return False
         if reply.status == 200 and reply.json["done"] != request:
             self.found.problems.append(f"{request}: answer of {reply.body!r}")
         return reply.status == 200
 
-    async def _model(
+    async def _call_model(
         self, rng: random.Random, name: str, history: list[Any], step: int
     ) -> None:
         history.append(base.user(f"{name} asks {step}"))
@@ -110,38 +134,45 @@
                 "berater",
                 history,
                 account="kunci",
-                headers=self._all(headers),
+                headers=self._with_deadline(headers),
             )
 
-        reply = await self._until_final(rng, call, f"{name}-{step}")
+        reply = await self._send_until_final(rng, call, f"{name}-{step}")
         if reply is not None and reply.status == 200:
             history.append(reply.json["choices"][0]["message"])
 
-    def _all(self, headers: dict[str, str]) -> dict[str, str]:
+    def _with_deadline(self, headers: dict[str, str]) -> dict[str, str]:
         return {**headers, "Catkinpin-Deadline-Ms": str(_DEADLINE_MS)}
 
-    async def _until_final(
+    async def _send_until_final(
         self,
         rng: random.Random,
         call: Callable[[str], Awaitable[replies.Reply]],
         request: str,
     ) -> replies.Reply | None:
-        """Sends a request until it ran, or may have run for good."""
-        for _ in range(_TRIES):
-            began = time.monotonic()
+        """Resends a request until its outcome is final.
+
+        Returns:
+            The reply with status 200; None if the call was refused, may have
+            run, or got no answer in all attempts.
+        """
+        for _ in range(_MAX_ATTEMPTS):
+            started_at = time.monotonic()
             try:
                 reply = await call(rng.choice(_ENTRIES))
             except (aiohttp.ClientError, ConnectionError, TimeoutError):
                 self.found.resent += 1
                 await asyncio.sleep(0.2)
                 continue
-            took = time.monotonic() - began
-            self.found.slowest_s = max(self.found.slowest_s, took)
-            if took > _SLOW_S:
-                text = f"{request}: {took:.1f} s, {reply.status}"
+            duration_s = time.monotonic() - started_at
+            self.found.slowest_s = max(self.found.slowest_s, duration_s)
+            if duration_s > _SLOW_CALL_S:
+                text = f"{request}: {duration_s:.1f} s, {reply.status}"
                 self.found.slow.append(f"{text} {reply.body[:200]!r}")
-            if took > _SLOWEST_S:
-                self.found.problems.append(f"{request}: took {took:.1f} s")
+            if duration_s > _MAX_CALL_S:
+                self.found.problems.append(
+                    f"{request}: took {duration_s:.1f} s"
+                )
             self.found.final[request] = reply.verdict
             if reply.status == 200:
                 self.found.answered += 1
@@ -155,11 +186,13 @@
                 return None
             self.found.resent += 1
             await asyncio.sleep(0.2)
-        self.found.problems.append(f"{request}: no answer in {_TRIES} tries")
+        self.found.problems.append(
+            f"{request}: no answer in {_MAX_ATTEMPTS} tries"
+        )
         return None
 
-    async def strike(self) -> None:
-        """Strikes one process after the other."""
+    async def inject_faults(self) -> None:
+        """Injects one fault after another until the end of the run."""
         faults = (self._kill, self._freeze, self._stop)
         while time.monotonic() < self.until:
             name = self.rng.choice((*_ENTRIES, *_REPLICAS, *_ENGINES))
@@ -194,7 +227,7 @@
         process.start()
 
     async def check(self) -> None:
-        """Compares the service's effects with what callers were told."""
+        """Compares the service's effects with the verdicts of the callers."""
         effects = (await self.cluster.look("service-1"))["effects"]
         for request, verdict in self.found.final.items():
             count = effects.get(request, 0)
@@ -210,7 +243,11 @@
 
 
 async def main(seed: int, seconds: int, only: str) -> int:
-    """Runs the load and the faults, and prints what was found."""
+    """Runs the load and the faults, and prints the results.
+
+    Returns:
+        The exit code: 1 if there were problems.
+    """
     with tempfile.TemporaryDirectory(
         prefix="catkinpin-soak-", ignore_cleanup_errors=True
     ) as folder:
@@ -227,11 +264,11 @@
             await cluster.serving("entry-1", "berater", "model")
             await cluster.serving("entry-1", "kiosk-app", "service")
             soak = Soak(cluster, seed, time.monotonic() + seconds, only)
-            striker = asyncio.create_task(soak.strike())
-            await asyncio.gather(*map(soak.caller, range(_CALLERS)))
-            striker.cancel()
+            injector = asyncio.create_task(soak.inject_faults())
+            await asyncio.gather(*map(soak.caller, range(_CALLER_COUNT)))
+            injector.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await striker
+                await injector
             await soak.check()
             found = soak.found
     print(f"seed {seed}: {len(soak.faults)} faults: {', '.join(soak.faults)}")
