--- a/bench/overload.py
+++ b/bench/overload.py
@@ -50,7 +50,7 @@
         self._busy = 0
         self.ran = 0
 
-    def _arrived(
+    def _handle_arrival(
         self, entry: Entry, call: Call, grant: messages.Granted
     ) -> None:
         self._queue.append((entry, call, grant))
@@ -60,14 +60,14 @@
         while self._queue and self._busy < _SLOTS:
             self._busy += 1
             entry, call, grant = self._queue.popleft()
-            self._aboard.append((entry, call, grant))
+            self._running.append((entry, call, grant))
             done = functools.partial(self._done, entry, call, grant)
             self.world.after(_SERVICE_MS, done)
 
     def _done(self, entry: Entry, call: Call, grant: messages.Granted) -> None:
         self._busy -= 1
         self.ran += 1
-        self._token(self.starts, entry, call, grant, "last token")
+        self._handle_token(self.starts, entry, call, grant, "last token")
         self._fill()
 
 
--- a/tests/fakes/worldentry.py
+++ b/tests/fakes/worldentry.py
@@ -68,7 +68,7 @@
             delay, lambda: self.do(act) if self.starts == starts else None
         )
 
-    def cut(self) -> None:
+    def break_stream(self) -> None:
         """Breaks the stream to the leader; it comes back."""
         self.epoch += 1
         self.connected = False
@@ -76,7 +76,7 @@
             self.world.leader.entry_lost(self.ref, self.world.now)
         self.after(150, self._connect)
 
-    def silence(self, way: str) -> None:
+    def lose_messages(self, way: str) -> None:
         """Loses all messages one way until the pings show it.
 
         Args:
@@ -86,7 +86,7 @@
 
         def noticed() -> None:
             setattr(self, way, False)
-            self.cut()
+            self.break_stream()
 
         self.after(2_000, noticed)
 
--- a/tests/fakes/worldfacts.py
+++ b/tests/fakes/worldfacts.py
@@ -11,7 +11,7 @@
     from catkinpin.core import messages
 
 DEADLINE_MS = 8_000
-BOUND_MS = 2_500  # A caller's answer may be this late.
+MAX_ANSWER_DELAY_MS = 2_500  # A caller's answer may be this late.
 TOKENS = 10  # Of each answer; a prompt's bound is as large.
 BUDGET = 2_000
 
--- a/tests/fakes/worldserver.py
+++ b/tests/fakes/worldserver.py
@@ -33,7 +33,7 @@
         self.poison: set[bytes] = set()
         self.restarts = True
         self.crashes = 0
-        self._aboard: list[tuple[Entry, Call, messages.Granted]] = []
+        self._running: list[tuple[Entry, Call, messages.Granted]] = []
         world.after(1, self._announce)
 
     @property
@@ -74,7 +74,7 @@
         self.alive = False
         self.crashes += 1
         self.held.clear()
-        aboard, self._aboard = self._aboard, []
+        aboard, self._running = self._running, []
         for entry, call, grant in aboard:
             self._to_entry(entry, call, grant, _broken(call, grant))
         if self.restarts:
@@ -90,10 +90,11 @@
         """Takes a dispatched request."""
         entry.progress(call, grant)
         self.world.after(
-            self.world.latency(), lambda: self._arrived(entry, call, grant)
+            self.world.latency(),
+            lambda: self._handle_arrival(entry, call, grant),
         )
 
-    def _arrived(
+    def _handle_arrival(
         self, entry: Entry, call: Call, grant: messages.Granted
     ) -> None:
         if not self.alive:
@@ -117,7 +118,7 @@
                 grant.max_tokens,
             )
         )
-        self._aboard.append((entry, call, grant))
+        self._running.append((entry, call, grant))
         if self.poison & {*prompt, call.begin.fingerprint}:
             self.kill()
             return
@@ -125,11 +126,11 @@
         starts = self.starts
         for number, step in enumerate(("first token", "mid", "last token"), 1):
             token = functools.partial(
-                self._token, starts, entry, call, grant, step
+                self._handle_token, starts, entry, call, grant, step
             )
             self.world.after(number * _TOKEN_MS, token)
 
-    def _token(
+    def _handle_token(
         self,
         starts: int,
         entry: Entry,
@@ -143,7 +144,7 @@
             self._to_entry(entry, call, grant, None)
             self.world.on_step(step, grant.key)
             return
-        self._aboard.remove((entry, call, grant))
+        self._running.remove((entry, call, grant))
         new = []
         if self.kind == "model":
             self.held.add(f"a/{grant.key.program}")
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -115,9 +115,13 @@
     "entry frozen long": Fault(
         lambda target: target.entry.freeze(9_000), 5_600, allows_unknown=True
     ),
-    "message lost": Fault(lambda target: target.entry.cut(), 700),
-    "entry unheard": Fault(lambda target: target.entry.silence("mute"), 3_000),
-    "leader unheard": Fault(lambda target: target.entry.silence("deaf"), 3_000),
+    "message lost": Fault(lambda target: target.entry.break_stream(), 700),
+    "entry unheard": Fault(
+        lambda target: target.entry.lose_messages("mute"), 3_000
+    ),
+    "leader unheard": Fault(
+        lambda target: target.entry.lose_messages("deaf"), 3_000
+    ),
     "message delayed": Fault(_delay, 2_500),
     "message duplicated": Fault(_duplicate, 500),
     "messages crossed": Fault(_cross, 2_500),
@@ -305,7 +309,7 @@
             stopped = self.world.entries[sent.entry].frozen_until
             due = (
                 max(sent.at + worldfacts.DEADLINE_MS, stopped)
-                + worldfacts.BOUND_MS
+                + worldfacts.MAX_ANSWER_DELAY_MS
             )
             if (sent.done_at or self.world.now) > due:
                 found.append(f"late: {sent}")
