--- a/tests/fakes/rawserver.py
+++ b/tests/fakes/rawserver.py
@@ -1,4 +1,4 @@
-"""Backend server whose answers a test writes byte by byte."""
+"""Fake backend server whose response bytes a test writes itself."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     """Listens on loopback and passes each request to a function.
 
     Args:
-        answer: writes the answer to a request, or nothing for no answer.
+        answer: writes the response to a request; it may write nothing.
 
     Attributes:
         requests: the requests received so far.
@@ -117,11 +117,11 @@
 def sealed_answer(
     received: ReceivedRequest, body: bytes, status: str = "200 OK", **more: str
 ) -> bytes:
-    """Returns a complete answer with the server's seal.
+    """Returns a complete response with the `Sealed` header.
 
     Args:
         received: the request that is answered.
-        body: body of the answer.
+        body: body of the response.
         status: status code and reason phrase.
         **more: header fields to add or replace, with `_` for `-`; an empty
             value removes the field.
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -1,7 +1,8 @@
-"""A shard's core among fakes of entries, servers, callers and the log.
+"""Simulation of a shard's core with fake entries, servers, callers and log.
 
-Everything runs on a stepped clock in one thread, so that a seed replays for
-ever. A fault strikes when a chosen call reaches a chosen step.
+Everything runs on a simulated clock in one thread, so that a seed always
+replays the same run. A test injects a fault when a selected call reaches a
+selected step.
 """
 
 from __future__ import annotations
@@ -37,7 +38,19 @@
 
 
 class World:
-    """The clock, the log, the leader, and the fakes around it."""
+    """Holds the simulated clock, the log, the leader and the fakes.
+
+    Attributes:
+        now: simulated time in ms.
+        on_step: called with the name of each step and the key of its call.
+        log: payloads of the committed records.
+        state: the shard's state after the committed records.
+        leader: the shard's leader, None between two leaders.
+        log_delay: time of the latest append, in ms.
+        seen: requests as they reached servers.
+        sent: requests as callers sent them.
+        quarantined: contents that the leader shared as quarantined.
+    """
 
     def __init__(
         self,
@@ -74,11 +87,11 @@
         self.after(_TICK_MS, self._tick)
 
     def after(self, delay: int, act: Callable[[], None]) -> None:
-        """Calls `act` in `delay` ms."""
+        """Schedules `act` to run in `delay` ms."""
         heapq.heappush(self._heap, (self.now + delay, next(self._count), act))
 
     def run(self, ms: int) -> None:
-        """Lets time pass."""
+        """Runs the scheduled actions of the next `ms` milliseconds."""
         end = self.now + ms
         while self._heap and self._heap[0][0] <= end:
             self.now, _, act = heapq.heappop(self._heap)
@@ -86,11 +99,11 @@
         self.now = end
 
     def next_ask(self) -> int:
-        """Returns a number for a question."""
+        """Returns a new number for a question to the leader."""
         return next(self._count) + 1
 
     def latency(self) -> int:
-        """Returns the time of one message."""
+        """Returns a random latency for one message, in ms."""
         return _LATENCY_MS + self.rng.randrange(3)
 
     def _tick(self) -> None:
@@ -105,15 +118,19 @@
     # The log and its leader.
 
     def elect(self) -> None:
-        """Replays the log into a new state and starts a leader."""
+        """Rebuilds the state and starts a new leader.
+
+        The state comes from a snapshot or from a replay of the log, at random;
+        both must give the same state.
+        """
         self.term += 1
-        old, self.state = self.state, shard.Shard("shard-0")
+        previous, self.state = self.state, shard.Shard("shard-0")
         if self.rng.random() < 0.5 and self.log:
-            self.state.restore(old.snapshot())
+            self.state.restore(previous.snapshot())
         else:
             for index, payload in enumerate(self.log, 1):
                 self.state.apply(index, _decoder.decode(payload))
-        assert self.state.snapshot() == old.snapshot() or not self.log
+        assert self.state.snapshot() == previous.snapshot() or not self.log
         self.view = servers.ServerView()
         self.jobs = self.make_scheduler(self.view)
         self.leader = leader.ShardLeader(
@@ -131,36 +148,38 @@
             entry.do(entry.ask_again)
 
     def make_scheduler(self, view: servers.ServerView) -> scheduler.Scheduler:
-        """Returns a new leader's scheduler: calls may wait, or never do."""
+        """Returns a scheduler with or without a queue, at random."""
         if self.rng.random() < 0.5:
             return scheduler.Scheduler(view, candidates.sticky)
         policy = candidates.by_cost(candidates.CostModel())
         return scheduler.Scheduler(view, policy, scheduler.QueueOptions())
 
     def reconfigure(self) -> None:
-        """Puts another configuration in force."""
+        """Applies a configuration with another priority."""
         self.cfg = configuration.parse(_CONFIG % (b"0" * 64, BUDGET, 7))
         if self.leader is not None:
             self.leader.cfg = self.cfg
 
     def depose(self) -> None:
-        """Loses the leader, and what is not committed."""
+        """Removes the leader and drops the records that are not committed."""
         self.term += 1
         self.leader = None
         self.after(_ELECTION_MS, self.elect)
 
-    def act(self, found: list[commands.Command]) -> None:
-        """Carries out a leader's commands."""
-        for command in found:
+    def act(self, issued: list[commands.Command]) -> None:
+        """Executes a leader's commands."""
+        for command in issued:
             match command:
                 case commands.Propose():
-                    self._append(codec.encode(command.record), self.term)
+                    self._append_later(codec.encode(command.record), self.term)
                 case commands.Send():
                     self._to_entry(command.to, command.message)
                 case commands.ShareQuarantine():
                     self.quarantined.add(command.content)
                 case commands.SendGrant():
-                    raise AssertionError("the fakes send whole histories")
+                    raise AssertionError(
+                        "the fakes always send complete histories"
+                    )
                 case commands.SendAnswer():
                     record = _decoder.decode(self.log[command.record_index - 1])
                     reply = messages.Finished(
@@ -172,7 +191,7 @@
                     )
                     self._to_entry(command.to, reply)
 
-    def _append(self, payload: bytes, term: int) -> None:
+    def _append_later(self, payload: bytes, term: int) -> None:
         self.log_delay = max(self.log_delay, self.now) + self.rng.randrange(2)
         wait = self.log_delay + 3 - self.now
         self.after(wait, lambda: self._commit(payload, term))
@@ -212,29 +231,29 @@
         self.after(self.latency() + entry.delay, deliver)
 
     def to_leader(self, entry: Entry, message: Any) -> None:
-        """Carries a message on an entry's stream."""
+        """Delivers a message from an entry to the leader, after a latency."""
         epoch = entry.epoch
 
         def deliver() -> None:
             if entry.mute or entry.epoch != epoch or self.leader is None:
                 return
-            found: list[commands.Command] = []
+            issued: list[commands.Command] = []
             match message:
                 case messages.Begin():
-                    found = self.leader.begin(
+                    issued = self.leader.begin(
                         entry.ref, message, self.now, self.now
                     )
                 case messages.Finish():
-                    found = self.leader.finish(
+                    issued = self.leader.finish(
                         entry.ref, message, self.now, self.now
                     )
                 case messages.EndProgram():
-                    found = self.leader.end_program(
+                    issued = self.leader.end_program(
                         entry.ref, message, self.now
                     )
                 case messages.ReleaseDone():
-                    found = self.leader.release_done(message, self.now)
-            self.act(found)
+                    issued = self.leader.release_done(message, self.now)
+            self.act(issued)
 
         if entry.connected:
             self.after(self.latency() + entry.delay, deliver)
--- a/tests/fakes/worldentry.py
+++ b/tests/fakes/worldentry.py
@@ -1,4 +1,4 @@
-"""An entry among the fakes: asks the leader, dispatches, answers callers."""
+"""Fake entry of the simulation."""
 
 from __future__ import annotations
 
@@ -18,11 +18,22 @@
     from tests.fakes.world import World
     from tests.fakes.worldfacts import Sent
 
-_PROGRESS_MS = 1_000
+_PROGRESS_TIMEOUT_MS = 1_000
 
 
 class Entry:
-    """An entry: asks, dispatches, reports outcomes, answers callers."""
+    """Asks the leader for grants, dispatches, reports and answers.
+
+    Attributes:
+        starts: number of restarts; part of the incarnation.
+        epoch: number of the stream to the leader; messages of an earlier
+            stream are lost.
+        delay: additional latency of messages, in ms.
+        deaf: whether messages from the leader are lost.
+        mute: whether messages to the leader are lost.
+        frozen: whether the process is stopped as by SIGSTOP.
+        connected: whether there is a stream to the leader.
+    """
 
     def __init__(self, world: World, name: str) -> None:
         self.world = world
@@ -46,49 +57,55 @@
 
     @property
     def incarnation(self) -> str:
-        """This life of the entry."""
+        """Id of the current run of the entry."""
         return f"{self.name}.{self.starts}"
 
     @property
     def ref(self) -> commands.EntryRef:
-        """How the leader knows the entry."""
+        """Reference by which the leader addresses the entry."""
         return commands.EntryRef(self.name, self.incarnation, "", self.name)
 
     def do(self, act: Callable[[], None]) -> None:
-        """Acts now, once continued, or never."""
+        """Runs `act` now, or once the process is continued if it is frozen.
+
+        An entry that is down drops it.
+        """
         if self.frozen:
             self._deferred.append(act)
         elif self.alive:
             act()
 
     def after(self, delay: int, act: Callable[[], None]) -> None:
-        """Acts later, in this life."""
+        """Runs `act` after a delay, unless the entry restarts before."""
         starts = self.starts
         self.world.after(
             delay, lambda: self.do(act) if self.starts == starts else None
         )
 
     def break_stream(self) -> None:
-        """Breaks the stream to the leader; it comes back."""
+        """Breaks the stream to the leader and reconnects after 150 ms."""
         self.epoch += 1
         self.connected = False
         if self.world.leader is not None:
             self.world.leader.entry_lost(self.ref, self.world.now)
         self.after(150, self._connect)
 
-    def lose_messages(self, way: str) -> None:
-        """Loses all messages one way until the pings show it.
+    def lose_messages(self, direction: str) -> None:
+        """Loses all messages in one direction for 2 s.
+
+        Then missing pings reveal the loss, and the stream is broken.
 
         Args:
-            way: `deaf` or `mute`.
+            direction: `deaf` loses messages from the leader, `mute` those to
+                it.
         """
-        setattr(self, way, True)
+        setattr(self, direction, True)
 
-        def noticed() -> None:
-            setattr(self, way, False)
+        def detect() -> None:
+            setattr(self, direction, False)
             self.break_stream()
 
-        self.after(2_000, noticed)
+        self.after(2_000, detect)
 
     def _connect(self) -> None:
         self.connected = True
@@ -97,7 +114,10 @@
         self.ask_again()
 
     def kill(self) -> None:
-        """Ends this life; another begins soon. Callers see a reset."""
+        """Kills the entry; it restarts after 500 ms.
+
+        The connections of its callers break.
+        """
         self.alive = False
         self.epoch += 1
         self.connected = False
@@ -116,21 +136,22 @@
         self._connect()
 
     def freeze(self, ms: int) -> None:
-        """Stops the process as SIGSTOP does, and continues it later."""
+        """Stops the process as SIGSTOP does, and continues it after `ms`."""
         self.frozen = True
         self.frozen_until = max(self.frozen_until, self.world.now + ms)
-        self.world.after(2_000, self._silent)
-        self.world.after(ms, self._thaw)
+        self.world.after(2_000, self._disconnect_if_frozen)
+        self.world.after(ms, self._continue)
 
-    def _silent(self) -> None:
+    def _disconnect_if_frozen(self) -> None:
         if self.frozen:
-            # Nothing more arrives; what was sent before lies in its buffers.
+            # The leader closes the stream. What arrived before is still in
+            # the buffers of the process.
             self.epoch += 1
             self.connected = False
             if self.world.leader is not None:
                 self.world.leader.entry_lost(self.ref, self.world.now)
 
-    def _thaw(self) -> None:
+    def _continue(self) -> None:
         self.frozen = False
         deferred, self._deferred = self._deferred, []
         for act in deferred:
@@ -141,19 +162,19 @@
     def start(
         self, begin: messages.Begin, sent: Sent, texts: list[bytes]
     ) -> None:
-        """Takes a caller's request."""
+        """Starts a caller's request."""
         call = Call(begin, sent, texts)
         self._open.append(call)
         self.do(lambda: self._begin(call))
-        late = begin.deadline_ms + 1_500
-        self.after(late, lambda: self._give_up(call))
+        give_up_ms = begin.deadline_ms + 1_500
+        self.after(give_up_ms, lambda: self._give_up(call))
 
     def _begin(self, call: Call) -> None:
-        left = call.sent.at + call.begin.deadline_ms - self.world.now
-        self.ask(call, messages.Begin, deadline_ms=max(1, left))
+        remaining_ms = call.sent.at + call.begin.deadline_ms - self.world.now
+        self.ask(call, messages.Begin, deadline_ms=max(1, remaining_ms))
 
     def ask(self, call: Call, kind: Any, **fields: Any) -> None:
-        """Sends a question and remembers it until the reply."""
+        """Sends a question to the leader and keeps it until the reply."""
         source: Any = call.begin if kind is messages.Begin else call.finish
         ask = self.world.next_ask()
         message = msgspec.structs.replace(source, ask=ask, **fields)
@@ -163,18 +184,18 @@
             self.world.on_step("begin", call.begin.key)
 
     def ask_again(self) -> None:
-        """Asks what has no reply, on a new stream or of a new leader."""
+        """Repeats unanswered questions on a new stream or to a new leader."""
         asks, self._asks = self._asks, {}
         for message, call, _ in asks.values():
             if not call.sent.done_at:
                 self.ask(call, type(message))
 
     def receive(self, message: Any) -> None:
-        """Takes a message of the leader."""
+        """Handles a message from the leader."""
         if isinstance(message, messages.Recall):
-            self._recalled(message)
+            self._handle_recall(message)
         elif isinstance(message, messages.Recover):
-            # These servers can't tell what became of an attempt.
+            # These fake servers can't report the outcome of an attempt.
             finish = messages.Finish(
                 ask=0,
                 key=message.key,
@@ -188,26 +209,26 @@
         elif message.ask in self._asks:
             _, call, asked_at = self._asks.pop(message.ask)
             if isinstance(message, messages.Granted):
-                self._granted(call, message, asked_at)
+                self._handle_grant(call, message, asked_at)
             else:
-                self._final(call, message)
+                self._answer_caller(call, message)
         elif isinstance(message, messages.Granted):
             key, attempt = message.key, message.attempt
-            self._recalled(messages.Recall(key=key, attempt=attempt))
+            self._handle_recall(messages.Recall(key=key, attempt=attempt))
 
-    def _granted(
+    def _handle_grant(
         self, call: Call, grant: messages.Granted, asked_at: int
     ) -> None:
         self.world.on_step("grant", call.begin.key)
         if not self.alive or not self._grants.mark_used(grant.attempt):
             self._begin(call)
             return
-        until = asked_at + grant.waited_ms + grant.expires_ms
+        valid_until = asked_at + grant.waited_ms + grant.expires_ms
         call.grant = grant
 
         def dispatch() -> None:
-            if self.world.now > until:
-                self._finish(call, Verdict.NOT_RUN, Reason.NOT_READY)
+            if self.world.now > valid_until:
+                self._finish_attempt(call, Verdict.NOT_RUN, Reason.NOT_READY)
                 return
             self.world.on_step("connect", call.begin.key)
             if not self.alive or self.frozen:
@@ -219,21 +240,23 @@
         dispatch()
 
     def progress(self, call: Call, grant: messages.Granted) -> None:
-        """Notes that a server sent something; watches for the next."""
-        call.heard = self.world.now
+        """Records progress of a server and restarts the progress timeout."""
+        call.last_progress_at = self.world.now
 
         def check() -> None:
             if call.grant is not grant or call.sent.done_at:
                 return
-            if self.world.now - call.heard >= _PROGRESS_MS:
-                self._finish(call, Verdict.MAY_HAVE_RUN, Reason.SERVER_FAILED)
+            if self.world.now - call.last_progress_at >= _PROGRESS_TIMEOUT_MS:
+                self._finish_attempt(
+                    call, Verdict.MAY_HAVE_RUN, Reason.SERVER_FAILED
+                )
 
-        self.after(_PROGRESS_MS, check)
+        self.after(_PROGRESS_TIMEOUT_MS, check)
 
     def outcome(
         self, call: Call, grant: messages.Granted, finish: messages.Finish
     ) -> None:
-        """Takes what became of a dispatch; a late outcome is dropped."""
+        """Reports the outcome of a dispatch; drops it if it is outdated."""
         if call.grant is not grant:
             return
         call.grant = None
@@ -248,7 +271,9 @@
 
         self.do(send)
 
-    def _finish(self, call: Call, verdict: Verdict, reason: Reason) -> None:
+    def _finish_attempt(
+        self, call: Call, verdict: Verdict, reason: Reason
+    ) -> None:
         grant = call.grant
         assert grant is not None
         finish = messages.Finish(
@@ -260,7 +285,7 @@
         )
         self.outcome(call, grant, finish)
 
-    def _recalled(self, recall: messages.Recall) -> None:
+    def _handle_recall(self, recall: messages.Recall) -> None:
         state = self._grants.recall(recall.attempt)
         pending = any(
             call.finish is not None and call.finish.attempt == recall.attempt
@@ -299,7 +324,7 @@
     def _give_up(self, call: Call) -> None:
         if call.sent.done_at:
             return
-        # The same request may have run through another entry.
+        # The same request may have been run through another entry.
         refused = messages.Refused(
             ask=0,
             reason=Reason.NO_LEADER,
@@ -307,9 +332,9 @@
             verdict=Verdict.MAY_HAVE_RUN,
             retry_after_ms=100,
         )
-        self._final(call, refused)
+        self._answer_caller(call, refused)
 
-    def _final(self, call: Call, reply: Any) -> None:
+    def _answer_caller(self, call: Call, reply: Any) -> None:
         self.world.on_step("last event", call.begin.key)
         if not self.alive or call.sent.done_at:
             return
--- a/tests/fakes/worldfacts.py
+++ b/tests/fakes/worldfacts.py
@@ -1,4 +1,4 @@
-"""What a shard's core is tested by: requests as they were seen and sent."""
+"""Constants and request records of the simulation."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     from catkinpin.core import messages
 
 DEADLINE_MS = 8_000
-MAX_ANSWER_DELAY_MS = 2_500  # A caller's answer may be this late.
-TOKENS = 10  # Of each answer; a prompt's bound is as large.
+MAX_ANSWER_DELAY_MS = 2_500  # Past its deadline, for a caller's answer.
+TOKENS = 10  # Of each answer; also the upper bound of each prompt.
 BUDGET = 2_000
 
 
@@ -30,7 +30,13 @@
 
 @dataclasses.dataclass
 class Sent:
-    """A caller's sending of a call, and what came back."""
+    """One sending of a call by its caller, and the result.
+
+    Attributes:
+        final: reply of the entry, None if there is none.
+        broken: whether the connection to the entry broke.
+        done_at: time of the reply or of the break; 0 while waiting.
+    """
 
     key: messages.CallKey
     at: int
@@ -41,7 +47,14 @@
 
 
 class Call:
-    """A caller's request at an entry."""
+    """A request that an entry handles.
+
+    Attributes:
+        texts: texts of the prompt.
+        grant: grant of the current attempt.
+        finish: outcome of the last attempt.
+        last_progress_at: time at which the server last sent something.
+    """
 
     def __init__(
         self, begin: messages.Begin, sent: Sent, texts: list[bytes]
@@ -51,14 +64,14 @@
         self.sent = sent
         self.grant: messages.Granted | None = None
         self.finish: messages.Finish | None = None
-        self.heard = 0
+        self.last_progress_at = 0
 
 
 def answer_text(digests: list[bytes]) -> bytes:
-    """Returns what a model answers to a prompt."""
+    """Returns a model's answer to a prompt."""
     return b"answer to " + digest.of_bytes(b"".join(digests)).hex().encode()
 
 
 def ask_text(begin: messages.Begin) -> bytes:
-    """Returns what a caller asks a model."""
+    """Returns the text of a caller's message to a model."""
     return f"ask {begin.key.request_id}".encode()
--- a/tests/fakes/worldprogram.py
+++ b/tests/fakes/worldprogram.py
@@ -1,4 +1,4 @@
-"""A caller's program among the fakes."""
+"""Fake caller of the simulation that runs one program."""
 
 from __future__ import annotations
 
@@ -16,10 +16,14 @@
 
 
 class Program:
-    """A caller's program: calls one after the other, resent until answered.
+    """Makes a program's calls in order and resends each until answered.
 
     Attributes:
-        first: place of the first call; others make those before.
+        first: sequence number of the first call; other callers of the same
+            program make the earlier ones.
+        kinds: one letter for each call: `m` for model, `s` for service.
+        texts: the model messages so far.
+        sends: the sendings of the current call.
         answers: the body of each call's answer, or None where the caller was
             told that a non-idempotent call may have run.
         times: ms from each call's first sending to its answer.
@@ -45,8 +49,8 @@
         number = len(self.answers)
         kind = "model" if self.kinds[number] == "m" else "service"
         request_id = f"{self.name}-{self.first + number}"
-        asked = [*self.texts, f"ask {request_id}".encode()]
-        digests = [digest.of_bytes(text) for text in asked]
+        prompt = [*self.texts, f"ask {request_id}".encode()]
+        digests = [digest.of_bytes(text) for text in prompt]
         return messages.Begin(
             ask=0,
             key=messages.CallKey(
@@ -69,15 +73,15 @@
             return
         self.sends = []
         self._begin = self._make_begin()
-        self._asked = [*self.texts, ask_text(self._begin)]
+        self._prompt = [*self.texts, ask_text(self._begin)]
         self.send()
         self._poll()
 
     def send(self) -> None:
-        """Sends the present call, again through another entry."""
+        """Sends the current call through an entry not used recently."""
         begin = self._begin
-        tried = [sent.entry for sent in self.sends[-2:]]
-        names = [name for name in self.world.entries if name not in tried]
+        recent = [sent.entry for sent in self.sends[-2:]]
+        names = [name for name in self.world.entries if name not in recent]
         entry = self.world.entries[self.world.rng.choice(names)]
         sent = Sent(begin.key, self.world.now, entry.name)
         self.sends.append(sent)
@@ -86,15 +90,15 @@
             sent.broken = True
             sent.done_at = self.world.now
             return
-        entry.start(begin, sent, self._asked)
+        entry.start(begin, sent, self._prompt)
 
     def _poll(self) -> None:
         for sent in self.sends:
             if isinstance(sent.final, messages.Finished):
-                self._answered(sent.final.answer.body)
+                self._record_answer(sent.final.answer.body)
                 return
-            if self._refused_for_good(sent.final):
-                self._answered(None)
+            if self._is_outcome_unknown(sent.final):
+                self._record_answer(None)
                 return
         newest = self.sends[-1]
         waited = self.world.now - newest.at
@@ -108,28 +112,28 @@
         self.world.after(20, self._poll)
 
     def stop(self) -> None:
-        """Ends the program while a call may be under way."""
+        """Ends the program, even if a call is in progress."""
         self.stopped = True
         self._end()
 
-    def _refused_for_good(self, final: Any) -> bool:
+    def _is_outcome_unknown(self, final: Any) -> bool:
         if not isinstance(final, messages.Refused):
             return False
-        unknown = final.verdict is Verdict.MAY_HAVE_RUN
-        return unknown and self.kinds[len(self.answers)] == "s"
+        may_have_run = final.verdict is Verdict.MAY_HAVE_RUN
+        return may_have_run and self.kinds[len(self.answers)] == "s"
 
-    def _answered(self, body: bytes | None) -> None:
+    def _record_answer(self, body: bytes | None) -> None:
         if self.kinds[len(self.answers)] == "m":
             assert body is not None
-            self.texts = [*self._asked, body]
+            self.texts = [*self._prompt, body]
         self.answers.append(body)
         self.times.append(self.world.now - self.sends[0].at)
         if not self.stopped:
             self._next()
 
     def _all_answered(self) -> bool:
-        same = [p for p in self.world.programs if p.name == self.name]
-        return all(p.stopped or len(p.answers) == len(p.kinds) for p in same)
+        callers = [p for p in self.world.programs if p.name == self.name]
+        return all(p.stopped or len(p.answers) == len(p.kinds) for p in callers)
 
     def _end(self) -> None:
         key = messages.ProgramKey(account="a", program=self.name)
--- a/tests/fakes/worldserver.py
+++ b/tests/fakes/worldserver.py
@@ -1,4 +1,4 @@
-"""A backend server among the fakes."""
+"""Fake backend server of the simulation."""
 
 from __future__ import annotations
 
@@ -14,12 +14,21 @@
     from tests.fakes.worldentry import Entry
     from tests.fakes.worldfacts import Call
 
-_REPORT_MS = 200
-_TOKEN_MS = 20
+_REPORT_INTERVAL_MS = 200
+_TOKEN_INTERVAL_MS = 20
 
 
 class Server:
-    """A backend server: runs requests, holds prefixes, may crash."""
+    """Runs requests, holds prefixes, and may crash.
+
+    Attributes:
+        starts: number of restarts; part of the incarnation.
+        silent: whether it runs requests but sends nothing.
+        leaving_since: time at which it began to leave; 0 if it does not.
+        held: programs whose prefix it holds.
+        poison: digests of contents that crash it.
+        restarts: whether it restarts after a crash.
+    """
 
     def __init__(self, world: World, name: str, kind: str) -> None:
         self.world = world
@@ -38,11 +47,11 @@
 
     @property
     def incarnation(self) -> str:
-        """This life of the server."""
+        """Id of the current run of the server."""
         return f"{self.name}.{self.starts}"
 
     def _announce(self) -> None:
-        self.world.after(_REPORT_MS, self._announce)
+        self.world.after(_REPORT_INTERVAL_MS, self._announce)
         self.world.on_step("announce", None)
         if not self.alive or self.silent:
             return
@@ -58,25 +67,25 @@
             leaving=bool(self.leaving_since),
             held=sorted(self.held),
         )
-        made = self.world.now
+        made_at = self.world.now
 
         def deliver() -> None:
             if self.world.leader is not None:
-                self.world.view.apply_report(report, made)
-                self.world.leader.handle_report(report, made)
+                self.world.view.apply_report(report, made_at)
+                self.world.leader.handle_report(report, made_at)
 
         self.world.after(self.world.latency(), deliver)
 
     def kill(self) -> None:
-        """Ends this life; connections break, and another life begins."""
+        """Crashes the server: connections break, and it restarts after 1 s."""
         if not self.alive:
             return
         self.alive = False
         self.crashes += 1
         self.held.clear()
-        aboard, self._running = self._running, []
-        for entry, call, grant in aboard:
-            self._to_entry(entry, call, grant, _broken(call, grant))
+        interrupted, self._running = self._running, []
+        for entry, call, grant in interrupted:
+            self._to_entry(entry, call, grant, _make_crash_outcome(call, grant))
         if self.restarts:
             self.world.after(1_000, self._restart)
 
@@ -87,7 +96,7 @@
     def request(
         self, entry: Entry, call: Call, grant: messages.Granted
     ) -> None:
-        """Takes a dispatched request."""
+        """Receives a dispatched request after a latency."""
         entry.progress(call, grant)
         self.world.after(
             self.world.latency(),
@@ -128,7 +137,7 @@
             token = functools.partial(
                 self._handle_token, starts, entry, call, grant, step
             )
-            self.world.after(number * _TOKEN_MS, token)
+            self.world.after(number * _TOKEN_INTERVAL_MS, token)
 
     def _handle_token(
         self,
@@ -145,11 +154,18 @@
             self.world.on_step(step, grant.key)
             return
         self._running.remove((entry, call, grant))
-        new = []
+        new_messages = []
         if self.kind == "model":
             self.held.add(f"a/{grant.key.program}")
-            new = [*call.texts[grant.skip :], answer_text(call.begin.digests)]
-        body = new[-1] if new else f"did {grant.key.request_id}".encode()
+            new_messages = [
+                *call.texts[grant.skip :],
+                answer_text(call.begin.digests),
+            ]
+        body = (
+            new_messages[-1]
+            if new_messages
+            else f"did {grant.key.request_id}".encode()
+        )
         finish = messages.Finish(
             ask=0,
             key=grant.key,
@@ -159,7 +175,7 @@
             usage=messages.Usage(
                 prompt_tokens=TOKENS, completion_tokens=TOKENS
             ),
-            messages=new,
+            messages=new_messages,
         )
         self._to_entry(entry, call, grant, finish)
         self.world.on_step(step, grant.key)
@@ -183,7 +199,7 @@
         entry.after(self.world.latency(), deliver)
 
 
-def _broken(call: Call, grant: messages.Granted) -> messages.Finish:
+def _make_crash_outcome(call: Call, grant: messages.Granted) -> messages.Finish:
     return messages.Finish(
         ask=0,
         key=grant.key,
