--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -38,7 +38,7 @@
         prompt: the messages as JSON.
         words: the tokens generated so far.
         cached_tokens: tokens of the prompt that were cached.
-        grew: set when there is a new token, and at the end.
+        has_grown: set when there is a new token, and at the end.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.done = False
         self.cancelled = False
         self.cached_tokens = 0
-        self.grew = asyncio.Event()
+        self.has_grown = asyncio.Event()
 
     def state(self) -> str:
         """Returns `done`, `running` or, before the first token, `waiting`."""
@@ -71,7 +71,7 @@
         cache: messages of each cached prefix by program, least recently used
             first.
         waiting: queue of the batch: negated priority, arrival, slot.
-        barred: attempts that must not run, as an entry was told that they
+        rejected: attempts that must not run, as an entry was told that they
             did not.
         resumed: attempt and offset of each resumed stream.
         seen: the chat requests received.
@@ -107,7 +107,7 @@
         self.waiting: list[tuple[int, int, asyncio.Future[None]]] = []
         self.arrivals = 0
         self.attempts: dict[str, Attempt] = {}
-        self.barred: set[str] = set()
+        self.rejected: set[str] = set()
         self.resumed: list[tuple[str, int]] = []
         self.seen: list[dict[str, Any]] = []
         self.released: list[str] = []
@@ -205,8 +205,8 @@
         """Returns the number of tokens of the prompt that are cached."""
         held = self.cache.get(program, [])
         matching = 0
-        for cached, asked in zip(held, prompt, strict=False):
-            if cached != asked:
+        for cached, sent in zip(held, prompt, strict=False):
+            if cached != sent:
                 break
             matching += count_tokens(cached)
         return matching
@@ -228,8 +228,8 @@
         attempt.cached_tokens = self.count_cached_tokens(
             attempt.program, attempt.prompt
         )
-        new = count_all_tokens(attempt.prompt) - attempt.cached_tokens
-        await asyncio.sleep(new * self.args.prefill_us / 1e6)
+        uncached = count_all_tokens(attempt.prompt) - attempt.cached_tokens
+        await asyncio.sleep(uncached * self.args.prefill_us / 1e6)
         text = self.args.salt + "".join(attempt.prompt)
         seed = hashlib.sha256(text.encode()).digest()
         token_count = min(max_tokens, self.args.answer_tokens)
@@ -243,9 +243,9 @@
                 os._exit(9)
             word = _WORDS[seed[i % len(seed)] % len(_WORDS)]
             attempt.words.append(word if i == 0 else " " + word)
-            attempt.grew.set()
+            attempt.has_grown.set()
         attempt.done = True
-        attempt.grew.set()
+        attempt.has_grown.set()
 
 
 def count_tokens(message: str) -> int:
@@ -274,14 +274,14 @@
     engine: Engine, req: web.Request, attempt: Attempt, at: int
 ) -> web.StreamResponse:
     """Streams the tokens of an attempt from offset `at` to the end."""
-    named = attempt.attempt
+    attempt_id = attempt.attempt
     if engine.settings["cross"]:
         engine.settings["cross"] = False
-        named = "another"
+        attempt_id = "another"
     resp = web.StreamResponse(
         headers={
             "Content-Type": "text/event-stream",
-            "Catkinpin-Attempt": named,
+            "Catkinpin-Attempt": attempt_id,
             "Catkinpin-Incarnation": engine.incarnation,
             "Catkinpin-Attempt-State": attempt.state(),
         }
@@ -300,8 +300,8 @@
                 return resp
         if attempt.done:
             break
-        attempt.grew.clear()
-        await attempt.grew.wait()
+        attempt.has_grown.clear()
+        await attempt.has_grown.wait()
     choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
     await resp.write(encode_chunk(attempt, choices=[choice]))
     usage = {
@@ -339,16 +339,18 @@
         crash_text = engine.settings["crash_on"]
         if crash_text and crash_text in "".join(prompt):
             os._exit(9)
-        named = req.headers.get("Catkinpin-Attempt", "")
-        incarnation = req.headers.get(
+        attempt_id = req.headers.get("Catkinpin-Attempt", "")
+        requested_incarnation = req.headers.get(
             "Catkinpin-Incarnation", engine.incarnation
         )
-        leaving = engine.settings["leaving"] and not engine.settings["lenient"]
-        refused = engine.settings["refuse"] or leaving
+        rejects_as_leaving = (
+            engine.settings["leaving"] and not engine.settings["lenient"]
+        )
+        refused = engine.settings["refuse"] or rejects_as_leaving
         if (
             refused
-            or named in engine.barred
-            or incarnation != engine.incarnation
+            or attempt_id in engine.rejected
+            or requested_incarnation != engine.incarnation
         ):
             return web.json_response(
                 {"error": "no new work"},
@@ -385,18 +387,18 @@
 
     @routes.get("/v1/attempts/{attempt}")
     async def resume(req: web.Request) -> web.StreamResponse:
-        named = req.match_info["attempt"]
-        attempt = engine.attempts.get(named)
+        attempt_id = req.match_info["attempt"]
+        attempt = engine.attempts.get(attempt_id)
         if attempt is None:
-            engine.barred.add(named)
+            engine.rejected.add(attempt_id)
             headers = {
-                "Catkinpin-Attempt": named,
+                "Catkinpin-Attempt": attempt_id,
                 "Catkinpin-Incarnation": engine.incarnation,
                 "Catkinpin-Verdict": "not-run",
             }
             return web.json_response({}, status=404, headers=headers)
         at = int(req.query.get("offset", "0"))
-        engine.resumed.append((named, at))
+        engine.resumed.append((attempt_id, at))
         return await stream(engine, req, attempt, at)
 
     @routes.delete("/v1/attempts/{attempt}")
--- a/tests/fakes/service.py
+++ b/tests/fakes/service.py
@@ -23,11 +23,11 @@
     Attributes:
         effects: number of effects of each request id.
         order: program and request id of each effect, in order.
-        begun: attempts that started to run.
+        started: attempts that started to run.
         answers: answer of each attempt that has one.
-        barred: attempts that must not run, as an entry was told that they
+        rejected: attempts that must not run, as an entry was told that they
             did not.
-        asked: attempts whose outcome was asked for.
+        queried: attempts whose outcome an entry queried.
         settings: faults and delays; tests change them while it runs.
     """
 
@@ -36,10 +36,10 @@
         self.incarnation = common.new_incarnation()
         self.effects: collections.Counter[str] = collections.Counter()
         self.order: list[tuple[str, str]] = []
-        self.begun: set[str] = set()
+        self.started: set[str] = set()
         self.answers: dict[str, Any] = {}
-        self.barred: set[str] = set()
-        self.asked: list[str] = []
+        self.rejected: set[str] = set()
+        self.queried: list[str] = []
         self.running = 0
         self.settings: dict[str, Any] = {
             "leaving": False,
@@ -92,7 +92,7 @@
                 "effects": service.effects,
                 "order": service.order,
                 "running": service.running,
-                "asked": service.asked,
+                "asked": service.queried,
             }
         )
 
@@ -106,7 +106,7 @@
     @routes.get("/v1/attempts/{attempt}")
     async def outcome(req: web.Request) -> web.Response:
         attempt = req.match_info["attempt"]
-        service.asked.append(attempt)
+        service.queried.append(attempt)
         if not service.settings["answers_attempts"]:
             raise web.HTTPNotFound
         if attempt in service.answers:
@@ -114,13 +114,13 @@
                 service.answers[attempt],
                 headers=attempt_headers(attempt, "done"),
             )
-        if attempt in service.begun:
+        if attempt in service.started:
             return web.json_response(
                 {}, headers=attempt_headers(attempt, "running")
             )
         # The entry may now run the call at another server, so a copy of
         # this attempt that arrives later must not run here.
-        service.barred.add(attempt)
+        service.rejected.add(attempt)
         headers = attempt_headers(attempt, "") | {
             "Catkinpin-Verdict": "not-run"
         }
@@ -132,10 +132,13 @@
         settings = service.settings
         request_id = req.headers.get("Idempotency-Key", "")
         attempt = req.headers.get("Catkinpin-Attempt", "")
-        incarnation = req.headers.get(
+        requested_incarnation = req.headers.get(
             "Catkinpin-Incarnation", service.incarnation
         )
-        if attempt in service.barred or incarnation != service.incarnation:
+        if (
+            attempt in service.rejected
+            or requested_incarnation != service.incarnation
+        ):
             headers = {"Catkinpin-Verdict": "not-run"}
             return web.json_response({}, status=409, headers=headers)
         if settings["crash_on"] and settings["crash_on"] in text:
@@ -144,7 +147,7 @@
             assert req.transport is not None
             req.transport.abort()
         service.running += 1
-        service.begun.add(attempt)
+        service.started.add(attempt)
         program = req.headers.get("Catkinpin-Program", "")
         service.order.append((program, request_id))
         service.effects[request_id] += 1
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -18,7 +18,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports that are free now and reserved for this process."""
+    """Returns ports that are free now, and never the same port twice."""
     allocated: list[int] = []
     while len(allocated) < count:
         port = _FIRST_PORT + next(_next_port) % _PORT_COUNT
