--- a/tests/cells.py
+++ b/tests/cells.py
@@ -1,4 +1,4 @@
-"""What tests of faults share: a cell of the fault matrix and its checks."""
+"""Base class of the fault tests: runs a cluster and checks results."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-FAST = {"progress_timeout_ms": 600, "progress_timeout_low_ms": 200}
-AT_ONCE_S = 3.0
+SHORT_TIMEOUTS_MS = {"progress_timeout_ms": 600, "progress_timeout_low_ms": 200}
+PROMPT_REPLY_S = 3.0
 TOKENS = 20
 
 
-def at(number: int, act: Callable[[], Any]) -> Any:
-    """Returns a callback that acts when token `number` has come."""
+def call_at_token(number: int, act: Callable[[], Any]) -> Any:
+    """Returns an `on_token` callback that calls `act` at token `number`."""
 
     async def on_token(count: int) -> None:
         if count == number:
@@ -27,12 +27,17 @@
 
 
 class FaultsTest(base.TestCase):
-    """Base: a cluster, and checks that many cells share."""
+    """Base class of the fault tests."""
 
-    def cell(
+    def run_on_cluster(
         self, body: Callable[[base.Cluster], Awaitable[None]], **parts: Any
     ) -> None:
-        """Runs a test's body on a fresh small cluster."""
+        """Runs the body of a test on a new small cluster.
+
+        Args:
+            body: receives the cluster.
+            **parts: arguments of `base.small`.
+        """
 
         async def main() -> None:
             async with await base.small(self.folder, **parts) as cluster:
@@ -40,25 +45,25 @@
 
         self.run_async(main())
 
-    def assert_whole(self, got: replies.Streamed) -> None:
-        """Checks that a caller got each token once and the proper end."""
+    def assert_complete(self, got: replies.Streamed) -> None:
+        """Checks that a stream has each token once and one regular end."""
         self.assertEqual(200, got.status)
         self.assertIsNone(got.error)
         self.assertEqual(TOKENS, len(got.text.split(" ")), got.text)
         self.assertEqual(1, got.finished)
         self.assertTrue(got.done)
 
-    async def known(self, cluster: base.Cluster, name: str) -> None:
-        """Waits until an engine has been granted and has answered a call."""
+    async def wait_until_called(self, cluster: base.Cluster, name: str) -> None:
+        """Sends probe calls until an engine has received one."""
 
         async def check() -> bool:
             await cluster.chat("entry-1", "berater", [base.user("probe")])
             return bool((await cluster.look(name))["seen"])
 
-        await base.until(check, f"{name} is known")
+        await base.until(check, f"{name} receives a call")
 
-    async def effect(self, cluster: base.Cluster, key: str) -> None:
-        """Waits until a request has had its effect."""
+    async def wait_for_effect(self, cluster: base.Cluster, key: str) -> None:
+        """Waits until the service has recorded the effect of a request."""
 
         async def check() -> bool:
             seen = await cluster.look("service-1")
@@ -66,14 +71,14 @@
 
         await base.until(check, f"the effect of {key}")
 
-    async def pay(
+    async def call_pay(
         self,
         cluster: base.Cluster,
         entry: str = "entry-1",
         key: str = "pay-1",
         **options: Any,
     ) -> replies.Reply:
-        """Makes a non-idempotent call."""
+        """Makes a non-idempotent service call."""
         headers = {"Idempotency-Key": key, "Catkinpin-Deadline-Ms": "8000"}
         headers |= options.pop("headers", {})
         return await cluster.call_service(
--- a/tests/fakes/service.py
+++ b/tests/fakes/service.py
@@ -1,7 +1,8 @@
-"""A plain service that counts its effects by request id.
+"""Fake application service that counts its effects by request id.
 
-Steered at `/fake`: it can answer late, crash on a text, break off the
-connection before or after the effect, die after it, or answer another attempt.
+Tests change its settings at `/fake`: it can answer late, crash on a text,
+abort the connection before or after the effect, exit after the effect, or
+answer with the id of another attempt.
 """
 
 from __future__ import annotations
@@ -17,17 +18,28 @@
 
 
 class Service:
-    """State of the fake; `settings` can be changed while it runs."""
+    """State of the fake service.
+
+    Attributes:
+        effects: number of effects of each request id.
+        order: program and request id of each effect, in order.
+        started: attempts that started to run.
+        answers: answer of each attempt that has one.
+        rejected: attempts that must not run, as an entry was told that they
+            did not.
+        queried: attempts whose outcome an entry queried.
+        settings: faults and delays; tests change them while it runs.
+    """
 
     def __init__(self, args: Any) -> None:
         self.args = args
         self.incarnation = common.new_incarnation()
         self.effects: collections.Counter[str] = collections.Counter()
         self.order: list[tuple[str, str]] = []
-        self.begun: set[str] = set()
+        self.started: set[str] = set()
         self.answers: dict[str, Any] = {}
-        self.barred: set[str] = set()
-        self.asked: list[str] = []
+        self.rejected: set[str] = set()
+        self.queried: list[str] = []
         self.running = 0
         self.settings: dict[str, Any] = {
             "leaving": False,
@@ -40,13 +52,13 @@
         }
 
     def note_effect(self, request_id: str) -> None:
-        """Writes an effect to a file that outlives this process."""
+        """Appends an effect to the effects file, which outlives the process."""
         if self.args.effects_file:
-            with open(self.args.effects_file, "a", encoding="utf-8") as out:
-                out.write(request_id + "\n")
+            with open(self.args.effects_file, "a", encoding="utf-8") as file:
+                file.write(request_id + "\n")
 
     def report(self) -> dict[str, Any] | None:
-        """Returns the announcement, or None while silent."""
+        """Returns the announcement, or None if announcing is switched off."""
         if not self.settings["announce"]:
             return None
         return {
@@ -80,11 +92,11 @@
                 "effects": service.effects,
                 "order": service.order,
                 "running": service.running,
-                "asked": service.asked,
+                "asked": service.queried,
             }
         )
 
-    def about(attempt: str, state: str) -> dict[str, str]:
+    def attempt_headers(attempt: str, state: str) -> dict[str, str]:
         return {
             "Catkinpin-Attempt": attempt,
             "Catkinpin-Incarnation": service.incarnation,
@@ -94,19 +106,24 @@
     @routes.get("/v1/attempts/{attempt}")
     async def outcome(req: web.Request) -> web.Response:
         attempt = req.match_info["attempt"]
-        service.asked.append(attempt)
+        service.queried.append(attempt)
         if not service.settings["answers_attempts"]:
             raise web.HTTPNotFound
         if attempt in service.answers:
             return web.json_response(
-                service.answers[attempt], headers=about(attempt, "done")
+                service.answers[attempt],
+                headers=attempt_headers(attempt, "done"),
             )
-        if attempt in service.begun:
-            return web.json_response({}, headers=about(attempt, "running"))
-        # Whoever was told that it did not run may run it elsewhere: a copy
-        # that is still on its way must not run here.
-        service.barred.add(attempt)
-        headers = about(attempt, "") | {"Catkinpin-Verdict": "not-run"}
+        if attempt in service.started:
+            return web.json_response(
+                {}, headers=attempt_headers(attempt, "running")
+            )
+        # The entry may now run the call at another server, so a copy of
+        # this attempt that arrives later must not run here.
+        service.rejected.add(attempt)
+        headers = attempt_headers(attempt, "") | {
+            "Catkinpin-Verdict": "not-run"
+        }
         return web.json_response({}, status=404, headers=headers)
 
     @routes.route("*", "/{path:.*}")
@@ -115,8 +132,13 @@
         settings = service.settings
         request_id = req.headers.get("Idempotency-Key", "")
         attempt = req.headers.get("Catkinpin-Attempt", "")
-        meant = req.headers.get("Catkinpin-Incarnation", service.incarnation)
-        if attempt in service.barred or meant != service.incarnation:
+        requested_incarnation = req.headers.get(
+            "Catkinpin-Incarnation", service.incarnation
+        )
+        if (
+            attempt in service.rejected
+            or requested_incarnation != service.incarnation
+        ):
             headers = {"Catkinpin-Verdict": "not-run"}
             return web.json_response({}, status=409, headers=headers)
         if settings["crash_on"] and settings["crash_on"] in text:
@@ -125,7 +147,7 @@
             assert req.transport is not None
             req.transport.abort()
         service.running += 1
-        service.begun.add(attempt)
+        service.started.add(attempt)
         program = req.headers.get("Catkinpin-Program", "")
         service.order.append((program, request_id))
         service.effects[request_id] += 1
@@ -139,7 +161,7 @@
         if settings["cut"] == "after":
             assert req.transport is not None
             req.transport.abort()
-        headers = about(attempt, "done")
+        headers = attempt_headers(attempt, "done")
         if settings["cross"]:
             settings["cross"] = False
             headers["Catkinpin-Attempt"] = "another"
@@ -152,7 +174,7 @@
 
 
 async def main() -> None:
-    """Runs the service."""
+    """Runs the fake service until SIGTERM."""
     args = common.arguments(
         name="service-1",
         port=0,
