--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -74,7 +74,7 @@
             outcomes = []
             for seed in seeds:
                 plan = world.RunPlan(
-                    workload, per_ms, load, seed, lost=lost, lying=lying
+                    workload, per_ms, load, seed, lost=lost, reports_idle=lying
                 )
                 if args.quick:
                     plan = world.RunPlan(
--- a/bench/cache.py
+++ b/bench/cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of a fake engine, and the account of what it wasted."""
+"""Prefix cache of a simulated engine, and its count of wasted tokens."""
 
 from __future__ import annotations
 
@@ -8,54 +8,58 @@
 
 @dataclasses.dataclass(eq=False)
 class Segment:
-    """What one turn adds to a context; all engines know the same segments.
+    """The tokens that one turn adds to a context.
+
+    Engines share segment objects, so that the counters cover all engines.
 
     Attributes:
-        program: id of the program, empty for a prompt that many share.
-        tokens: size, in tokens.
-        fills: how often engines have computed it.
-        wasted: how many of these fills were in vain.
+        program: id of the program; empty for the shared system prompt.
+        tokens: number of tokens.
+        fills: how many times engines have computed the segment.
+        wasted_fills: how many of these fills were wasted.
     """
 
     program: str
     tokens: int
     fills: int = 0
-    wasted: int = 0
+    wasted_fills: int = 0
 
 
 @dataclasses.dataclass
-class Waste:
-    """Tokens that entered the engines' memory, and those in vain.
+class CacheWaste:
+    """Counts the tokens that entered the caches and those that were wasted.
 
-    A fill is in vain when it was evicted before any reuse, or when the same
-    prefix had to be computed again. Each fill counts once at most.
+    A fill is wasted if it was evicted before any reuse or if the same prefix
+    had to be computed again. Each fill counts as wasted at most once.
     """
 
     filled_tokens: int = 0
     wasted_tokens: int = 0
     recomputed_tokens: int = 0
 
-    def filled(self, segment: Segment, tokens: int, again: bool) -> None:
-        """Counts a fill; `again` where an earlier one is computed anew."""
+    def record_fill(
+        self, segment: Segment, tokens: int, recomputed: bool
+    ) -> None:
+        """Counts a fill; `recomputed` if the segment was filled before."""
         self.filled_tokens += tokens
-        if again:
+        if recomputed:
             self.recomputed_tokens += tokens
-            if segment.wasted < segment.fills:
-                self._waste(segment, tokens)
+            if segment.wasted_fills < segment.fills:
+                self._record_waste(segment, tokens)
         segment.fills += 1
 
-    def evicted(self, segment: Segment, reused: bool) -> None:
-        """Counts an eviction."""
-        if not reused and segment.wasted < segment.fills:
-            self._waste(segment, segment.tokens)
+    def record_eviction(self, segment: Segment, reused: bool) -> None:
+        """Counts an evicted fill as wasted unless it was reused."""
+        if not reused and segment.wasted_fills < segment.fills:
+            self._record_waste(segment, segment.tokens)
 
-    def _waste(self, segment: Segment, tokens: int) -> None:
-        segment.wasted += 1
+    def _record_waste(self, segment: Segment, tokens: int) -> None:
+        segment.wasted_fills += 1
         self.wasted_tokens += tokens
 
 
 @dataclasses.dataclass(eq=False)
-class _Copy:
+class _CachedSegment:
     segment: Segment
     tokens: int
     pins: int = 0
@@ -63,88 +67,91 @@
 
 
 class PrefixCache:
-    """Limited memory with eviction of what was used longest ago."""
+    """Prefix cache of limited size that evicts least recently used segments."""
 
-    def __init__(self, limit_tokens: int, waste: Waste) -> None:
-        self._limit = limit_tokens
+    def __init__(self, limit_tokens: int, waste: CacheWaste) -> None:
+        self._limit_tokens = limit_tokens
         self._waste = waste
-        self._copies: collections.OrderedDict[Segment, _Copy] = (
+        self._entries: collections.OrderedDict[Segment, _CachedSegment] = (
             collections.OrderedDict()
         )
-        self._used = 0
+        self._used_tokens = 0
 
-    def cached(self, chain: list[Segment]) -> int:
-        """Returns how many leading segments of `chain` are held."""
-        for count, segment in enumerate(chain):
-            if segment not in self._copies:
+    def cached_prefix_length(self, segments: list[Segment]) -> int:
+        """Returns how many leading segments are in the cache."""
+        for count, segment in enumerate(segments):
+            if segment not in self._entries:
                 return count
-        return len(chain)
+        return len(segments)
 
-    def admit(self, chain: list[Segment], extra_tokens: int) -> int | None:
-        """Pins a chain and makes room for the rest of it.
+    def admit(self, segments: list[Segment], output_tokens: int) -> int | None:
+        """Pins a context and reserves space for its missing part and output.
 
         Args:
-            chain: the whole context; its last segment is new.
-            extra_tokens: what will be generated.
+            segments: the whole context; the last segment is new.
+            output_tokens: number of tokens that will be generated.
 
         Returns:
-            The tokens to compute, or None where there is no room.
+            The number of tokens to compute, or None if there is no space.
         """
-        hits = self.cached(chain)
-        for segment in chain[:hits]:
-            self._copies[segment].pins += 1
-        missing = chain[hits:]
+        hit_count = self.cached_prefix_length(segments)
+        for segment in segments[:hit_count]:
+            self._entries[segment].pins += 1
+        missing = segments[hit_count:]
         tokens = sum(segment.tokens for segment in missing)
-        if not self._make_room(tokens + extra_tokens):
-            for segment in chain[:hits]:
-                self._copies[segment].pins -= 1
+        if not self._evict_for(tokens + output_tokens):
+            for segment in segments[:hit_count]:
+                self._entries[segment].pins -= 1
             return None
-        for segment in chain[:hits]:
-            self._copies[segment].reused = True
+        for segment in segments[:hit_count]:
+            self._entries[segment].reused = True
         for segment in missing:
-            again = segment.fills > 0
-            self._waste.filled(segment, segment.tokens, again)
-            self._copies[segment] = _Copy(segment, segment.tokens, pins=1)
-        self._used += tokens + extra_tokens
+            recomputed = segment.fills > 0
+            self._waste.record_fill(segment, segment.tokens, recomputed)
+            self._entries[segment] = _CachedSegment(
+                segment, segment.tokens, pins=1
+            )
+        self._used_tokens += tokens + output_tokens
         return tokens
 
-    def finish(self, chain: list[Segment], generated: int) -> None:
-        """Unpins a chain whose last segment grew by what was generated."""
-        last = self._copies[chain[-1]]
-        last.tokens += generated
-        self._waste.filled_tokens += generated
-        # The deepest segment is touched first, so that it also goes first.
-        for segment in reversed(chain):
-            self._copies[segment].pins -= 1
-            self._copies.move_to_end(segment)
-
-    def release(self, chain: list[Segment]) -> None:
-        """Frees what a program that has ended holds."""
-        for segment in chain:
-            copy = self._copies.get(segment)
-            if copy is not None and segment.program and not copy.pins:
-                self._used -= copy.tokens
-                del self._copies[segment]
-
-    def held(self) -> set[str]:
-        """Returns the ids of the programs that have something here."""
-        return {segment.program for segment in self._copies}
-
-    def _make_room(self, tokens: int) -> bool:
-        if self._used + tokens <= self._limit:
+    def finish(self, segments: list[Segment], output_tokens: int) -> None:
+        """Unpins a context and adds the output to its last segment."""
+        last = self._entries[segments[-1]]
+        last.tokens += output_tokens
+        self._waste.filled_tokens += output_tokens
+        # Touches the last segment first, so that it is also evicted first: a
+        # prefix stays longer than the segments that depend on it.
+        for segment in reversed(segments):
+            self._entries[segment].pins -= 1
+            self._entries.move_to_end(segment)
+
+    def release(self, segments: list[Segment]) -> None:
+        """Drops the unpinned segments of a program that has ended."""
+        for segment in segments:
+            entry = self._entries.get(segment)
+            if entry is not None and segment.program and not entry.pins:
+                self._used_tokens -= entry.tokens
+                del self._entries[segment]
+
+    def programs(self) -> set[str]:
+        """Returns the ids of the programs with segments in the cache."""
+        return {segment.program for segment in self._entries}
+
+    def _evict_for(self, tokens: int) -> bool:
+        if self._used_tokens + tokens <= self._limit_tokens:
             return True
-        victims = []
+        evicted_entries = []
         freed = 0
-        for copy in self._copies.values():
-            if not copy.pins:
-                victims.append(copy)
-                freed += copy.tokens
-                if self._used - freed + tokens <= self._limit:
+        for entry in self._entries.values():
+            if not entry.pins:
+                evicted_entries.append(entry)
+                freed += entry.tokens
+                if self._used_tokens - freed + tokens <= self._limit_tokens:
                     break
         else:
             return False
-        for copy in victims:
-            self._used -= copy.tokens
-            del self._copies[copy.segment]
-            self._waste.evicted(copy.segment, copy.reused)
+        for entry in evicted_entries:
+            self._used_tokens -= entry.tokens
+            del self._entries[entry.segment]
+            self._waste.record_eviction(entry.segment, entry.reused)
         return True
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -1,4 +1,4 @@
-"""Fakes of a model engine and of a plain service under a stepped clock."""
+"""Simulated model engine and plain service on a simulated clock."""
 
 from __future__ import annotations
 
@@ -7,215 +7,230 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from bench.cache import PrefixCache, Segment, Waste
+from bench.cache import CacheWaste, PrefixCache, Segment
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from bench.events import Events
+    from bench.events import EventLoop
 
 
 @dataclasses.dataclass(frozen=True)
-class EngineShape:
-    """How fast a model engine is.
+class EngineSpec:
+    """Capacity and speed of a simulated model engine.
 
     Attributes:
-        slots: requests decoded together.
-        cache_tokens: size of the prefix cache.
-        prefill_per_ms: tokens computed in a millisecond.
-        gap_ms: time between tokens of a lone request.
-        gap_per_request_ms: what each further request adds to it.
+        slots: maximum number of requests that run at the same time.
+        cache_tokens: capacity of the prefix cache.
+        prefill_tokens_per_ms: prefill speed.
+        base_interval_ms: constant part of the time between two tokens.
+        interval_per_request_ms: time that each running request adds.
     """
 
     slots: int
     cache_tokens: int
-    prefill_per_ms: float = 12.0
-    gap_ms: float = 12.0
-    gap_per_request_ms: float = 0.35
+    prefill_tokens_per_ms: float = 12.0
+    base_interval_ms: float = 12.0
+    interval_per_request_ms: float = 0.35
 
-    def gap(self, running: int) -> float:
-        """Returns the time between tokens of each of `running` requests."""
-        return self.gap_ms + self.gap_per_request_ms * running
+    def token_interval_ms(self, running: int) -> float:
+        """Returns the time between two tokens while `running` requests run."""
+        return self.base_interval_ms + self.interval_per_request_ms * running
 
 
-# While some requests are prefilled, this part of the time goes to them.
-_PREFILL_SHARE = 0.6
+# Share of the engine's time that prefill gets while requests also decode.
+_PREFILL_TIME_SHARE = 0.6
 
 
 @dataclasses.dataclass(eq=False)
 class Request:
-    """A request aboard a server.
+    """A request that a simulated server runs or queues.
 
     Attributes:
-        chain: the context; the last segment is this turn's.
+        segments: the context; the last segment belongs to this turn.
         work: tokens to generate, or milliseconds of a service's work.
-        done: called with whether the server answered.
-        cached_tokens: what the cache held of the context, once it started.
+        on_done: callback; its argument tells whether the server answered.
+        prefill: tokens still to compute before decoding can start.
+        cached_tokens: context tokens found in the cache at the start.
     """
 
-    chain: list[Segment]
+    segments: list[Segment]
     work: float
-    done: Callable[[bool], None]
+    on_done: Callable[[bool], None]
     prefill: float = 0.0
     cached_tokens: int = 0
 
 
 class Engine:
-    """Continuous batching, prefill one by one, decode side by side."""
+    """Simulates continuous batching.
+
+    Requests are prefilled one after another and decoded in parallel.
+    """
 
     def __init__(
-        self, events: Events, shape: EngineShape, waste: Waste
+        self, events: EventLoop, spec: EngineSpec, waste: CacheWaste
     ) -> None:
-        self.shape = shape
-        self.cache = PrefixCache(shape.cache_tokens, waste)
-        self.lost = False
+        self.spec = spec
+        self.cache = PrefixCache(spec.cache_tokens, waste)
+        self.failed = False
         self._events = events
         self._queue: list[Request] = []
         self._prefills: list[Request] = []
-        # Each decoding request ends when this many tokens have passed.
-        self._passed = 0.0
+        # Tokens generated per decoding request since the start. A request in
+        # `_decodes` ends when this count reaches its first tuple element.
+        self._decoded_tokens = 0.0
         self._decodes: list[tuple[float, int, Request]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._updated_ms = 0.0
-        self._wakeup = 0
+        self._wakeup_number = 0
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Number of requests that hold a slot."""
         return len(self._prefills) + len(self._decodes)
 
     @property
     def waiting(self) -> int:
-        """Requests in the engine's own queue."""
+        """Number of requests in the engine's queue."""
         return len(self._queue)
 
     def submit(self, req: Request) -> None:
-        """Takes a request."""
-        if self.lost:
-            req.done(False)
+        """Queues a request, or fails it if the server has failed."""
+        if self.failed:
+            req.on_done(False)
             return
-        self._advance()
+        self._update_progress()
         self._queue.append(req)
-        self._plan()
+        self._start_queued()
 
-    def lose(self) -> None:
-        """Dies with all that it holds."""
-        self.lost = True
-        aboard = [*self._queue, *self._prefills]
-        aboard += [req for _, _, req in self._decodes]
+    def fail(self) -> None:
+        """Makes the server fail together with all its requests."""
+        self.failed = True
+        unfinished = [*self._queue, *self._prefills]
+        unfinished += [req for _, _, req in self._decodes]
         self._queue, self._prefills, self._decodes = [], [], []
-        for req in aboard:
-            req.done(False)
+        for req in unfinished:
+            req.on_done(False)
 
-    def _advance(self) -> None:
-        passed = self._events.now_ms - self._updated_ms
+    def _update_progress(self) -> None:
+        elapsed_ms = self._events.now_ms - self._updated_ms
         self._updated_ms = self._events.now_ms
-        prefill, decode = self._shares()
+        prefill, decode = self._time_shares()
         if self._prefills:
             head = self._prefills[0]
-            head.prefill -= passed * prefill * self.shape.prefill_per_ms
+            head.prefill -= (
+                elapsed_ms * prefill * self.spec.prefill_tokens_per_ms
+            )
         if self._decodes:
-            self._passed += passed * decode / self.shape.gap(self.running)
+            self._decoded_tokens += (
+                elapsed_ms * decode / self.spec.token_interval_ms(self.running)
+            )
 
-    def _shares(self) -> tuple[float, float]:
+    def _time_shares(self) -> tuple[float, float]:
         if not self._prefills:
             return 0.0, 1.0
         if not self._decodes:
             return 1.0, 0.0
-        return _PREFILL_SHARE, 1.0 - _PREFILL_SHARE
+        return _PREFILL_TIME_SHARE, 1.0 - _PREFILL_TIME_SHARE
 
-    def _plan(self) -> None:
-        """Starts what can start, and wakes up at the next change."""
-        while self._queue and self.running < self.shape.slots:
+    def _start_queued(self) -> None:
+        """Starts queued requests that fit and schedules the next wakeup."""
+        while self._queue and self.running < self.spec.slots:
             req = self._queue[0]
-            tokens = self.cache.admit(req.chain, round(req.work))
+            tokens = self.cache.admit(req.segments, round(req.work))
             if tokens is None:
                 break
             req.prefill = tokens
-            context = sum(segment.tokens for segment in req.chain)
+            context = sum(segment.tokens for segment in req.segments)
             req.cached_tokens = context - tokens
             self._prefills.append(req)
             del self._queue[0]
-        self._wakeup += 1
-        wakeup = self._wakeup
-        if (delay := self._next_change()) is not None:
-            self._events.after(delay, lambda: self._wake(wakeup))
-
-    def _next_change(self) -> float | None:
-        prefill, decode = self._shares()
+        self._wakeup_number += 1
+        wakeup_number = self._wakeup_number
+        if (delay := self._next_change_delay_ms()) is not None:
+            self._events.schedule(
+                delay, lambda: self._handle_wakeup(wakeup_number)
+            )
+
+    def _next_change_delay_ms(self) -> float | None:
+        prefill, decode = self._time_shares()
         delays = []
         if self._prefills:
-            rate = prefill * self.shape.prefill_per_ms
+            rate = prefill * self.spec.prefill_tokens_per_ms
             delays.append(max(0.0, self._prefills[0].prefill / rate))
         if self._decodes:
-            left = max(0.0, self._decodes[0][0] - self._passed)
-            delays.append(left * self.shape.gap(self.running) / decode)
+            left = max(0.0, self._decodes[0][0] - self._decoded_tokens)
+            delays.append(
+                left * self.spec.token_interval_ms(self.running) / decode
+            )
         return min(delays, default=None)
 
-    def _wake(self, wakeup: int) -> None:
-        if wakeup != self._wakeup or self.lost:
+    def _handle_wakeup(self, wakeup_number: int) -> None:
+        if wakeup_number != self._wakeup_number or self.failed:
             return
-        self._advance()
+        self._update_progress()
         if self._prefills and self._prefills[0].prefill <= 1e-6:
             req = self._prefills.pop(0)
-            end = (self._passed + req.work, next(self._order), req)
+            end = (self._decoded_tokens + req.work, next(self._sequence), req)
             heapq.heappush(self._decodes, end)
         finished = []
-        while self._decodes and self._decodes[0][0] <= self._passed + 1e-6:
+        while (
+            self._decodes and self._decodes[0][0] <= self._decoded_tokens + 1e-6
+        ):
             req = heapq.heappop(self._decodes)[2]
-            self.cache.finish(req.chain, round(req.work))
-            req.chain[-1].tokens += round(req.work)
+            self.cache.finish(req.segments, round(req.work))
+            req.segments[-1].tokens += round(req.work)
             finished.append(req)
-        self._plan()
+        self._start_queued()
         for req in finished:
-            req.done(True)
+            req.on_done(True)
 
 
 class Service:
-    """A plain service with some workers and a queue."""
+    """Simulates a service with a fixed number of workers and a queue."""
 
-    def __init__(self, events: Events, slots: int) -> None:
+    def __init__(self, events: EventLoop, slots: int) -> None:
         self.slots = slots
-        self.lost = False
+        self.failed = False
         self._events = events
         self._running: list[Request] = []
         self._queue: list[Request] = []
 
     @property
     def running(self) -> int:
-        """Requests that hold a worker."""
+        """Number of requests that hold a worker."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a worker."""
+        """Number of requests that wait for a worker."""
         return len(self._queue)
 
     def submit(self, req: Request) -> None:
-        """Takes a request."""
-        if self.lost:
-            req.done(False)
+        """Runs or queues a request, or fails it if the server has failed."""
+        if self.failed:
+            req.on_done(False)
         elif len(self._running) < self.slots:
             self._start(req)
         else:
             self._queue.append(req)
 
-    def lose(self) -> None:
-        """Dies with all that it holds."""
-        self.lost = True
-        aboard = self._running + self._queue
+    def fail(self) -> None:
+        """Makes the server fail together with all its requests."""
+        self.failed = True
+        unfinished = self._running + self._queue
         self._running, self._queue = [], []
-        for req in aboard:
-            req.done(False)
+        for req in unfinished:
+            req.on_done(False)
 
     def _start(self, req: Request) -> None:
         self._running.append(req)
-        self._events.after(req.work, lambda: self._end(req))
+        self._events.schedule(req.work, lambda: self._finish(req))
 
-    def _end(self, req: Request) -> None:
+    def _finish(self, req: Request) -> None:
         if req not in self._running:
             return
         self._running.remove(req)
         if self._queue:
             self._start(self._queue.pop(0))
-        req.done(True)
+        req.on_done(True)
--- a/bench/events.py
+++ b/bench/events.py
@@ -1,4 +1,4 @@
-"""A stepped clock: events run in order of time, then of arrival."""
+"""Event loop on a simulated clock."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
     from collections.abc import Callable
 
 
-class Events:
-    """Events to come.
+class EventLoop:
+    """Runs callbacks in order of time, then in the order of scheduling.
 
     Attributes:
-        now_ms: time of the event that runs now.
+        now_ms: simulated time of the current event.
     """
 
     def __init__(self) -> None:
         self.now_ms = 0.0
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
-
-    def after(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Runs `action` once `delay_ms` have passed."""
-        entry = (self.now_ms + delay_ms, next(self._order), action)
-        heapq.heappush(self._heap, entry)
-
-    def run(self, until_ms: float, done: Callable[[], bool]) -> None:
-        """Runs events until `done`, or until the time is up."""
-        while self._heap and not done():
-            at_ms, _, action = heapq.heappop(self._heap)
-            if at_ms > until_ms:
+        self._queue: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
+
+    def schedule(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Schedules `callback` to run after `delay_ms`."""
+        entry = (self.now_ms + delay_ms, next(self._sequence), callback)
+        heapq.heappush(self._queue, entry)
+
+    def run(self, end_ms: float, is_done: Callable[[], bool]) -> None:
+        """Runs events until `is_done` returns true or `end_ms` has passed."""
+        while self._queue and not is_done():
+            at_ms, _, callback = heapq.heappop(self._queue)
+            if at_ms > end_ms:
                 return
             self.now_ms = at_ms
-            action()
+            callback()
--- a/bench/link.py
+++ b/bench/link.py
@@ -1,4 +1,4 @@
-"""The narrow link between regions, shared by all traffic."""
+"""Simulated network link between two regions, shared by all traffic."""
 
 from __future__ import annotations
 
@@ -7,24 +7,28 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from bench.events import Events
+    from bench.events import EventLoop
 
-BYTES_PER_MS = 15_000_000 / 8 / 1_000
+BANDWIDTH_BYTES_PER_MS = 15_000_000 / 8 / 1_000
 
 
 class Link:
-    """One direction of the link: bytes go one after the other."""
+    """One direction of a link; messages are transmitted one after another.
 
-    def __init__(self, events: Events, delay_ms: float) -> None:
-        self.bytes = 0
+    Attributes:
+        sent_bytes: total size of all messages sent so far.
+    """
+
+    def __init__(self, events: EventLoop, delay_ms: float) -> None:
+        self.sent_bytes = 0
         self._events = events
         self._delay_ms = delay_ms
-        self._free_ms = 0.0
-
-    def send(self, size: int, then: Callable[[], None]) -> None:
-        """Runs `then` when `size` bytes have arrived."""
-        self.bytes += size
-        begin = max(self._events.now_ms, self._free_ms)
-        self._free_ms = begin + size / BYTES_PER_MS
-        wait = self._free_ms - self._events.now_ms
-        self._events.after(wait + self._delay_ms, then)
+        self._idle_at_ms = 0.0
+
+    def send(self, size_bytes: int, on_delivered: Callable[[], None]) -> None:
+        """Sends a message and calls `on_delivered` when it has arrived."""
+        self.sent_bytes += size_bytes
+        start_ms = max(self._events.now_ms, self._idle_at_ms)
+        self._idle_at_ms = start_ms + size_bytes / BANDWIDTH_BYTES_PER_MS
+        transmit_ms = self._idle_at_ms - self._events.now_ms
+        self._events.schedule(transmit_ms + self._delay_ms, on_delivered)
--- a/bench/world.py
+++ b/bench/world.py
@@ -1,4 +1,8 @@
-"""One run: clients, entries, the leader's real scheduler, fake servers."""
+"""Simulation of one run on a simulated clock.
+
+Clients, entries and backend servers are simulated; the leader's scheduler is
+the production code.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +12,9 @@
 from typing import TYPE_CHECKING
 
 from bench import workloads
-from bench.cache import Segment, Waste
+from bench.cache import CacheWaste, Segment
 from bench.engine import Engine, Request, Service
-from bench.events import Events
+from bench.events import EventLoop
 from bench.link import Link
 from catkinpin.core import messages
 from catkinpin.core.placement import jobs, scheduler, servers
@@ -22,56 +26,63 @@
 
 _CLIENT_DELAY_MS = 3.0
 _REGION_DELAY_MS = 8.0
-_REPORT_EVERY_MS = 500
-_REPORT_LAG_MS = (150, 450)
-_REPORT_LOST = 0.05
-_HELD_GAP = 0.05
-_TICK_MS = 100
-# Sizes on the link: text is compressed, a streamed token has a frame.
+_REPORT_INTERVAL_MS = 500
+_REPORT_DELAY_RANGE_MS = (150, 450)
+_REPORT_LOSS_SHARE = 0.05
+_HELD_OMITTED_SHARE = 0.05
+_TICK_INTERVAL_MS = 100
+# Sizes on the link: prompt text is compressed; each streamed token is sent in
+# a frame of its own.
 _BYTES_PER_TOKEN = 1.6
 _BYTES_PER_STREAMED_TOKEN = 30
-_BYTES_PER_MESSAGE = 700
+_MESSAGE_OVERHEAD_BYTES = 700
 _MAX_TOKENS = 1_024
 _ACCOUNT = "user"
 
 
 @dataclasses.dataclass(frozen=True)
 class RunPlan:
-    """What to run.
+    """Parameters of a run.
 
     Attributes:
-        load: arrivals as a share of capacity.
-        arrivals_ms: how long programs arrive.
-        election_timeout_ms: how long the run lasts after that at most.
-        lost: `server` or `domain` fails midway, or with `drain` a server gets
-            no new work from then on; empty for no failure.
-        lying: whether one server's reports always say that it is idle.
+        capacity_per_ms: capacity, in programs per millisecond.
+        load: arrival rate as a share of capacity.
+        arrivals_ms: how long new programs arrive.
+        completion_timeout_ms: how long the run may last after the arrivals.
+        lost: fault injected halfway through the arrivals: `server` or `domain`
+            fails, `drain` stops new work for one server; empty for no fault.
+        reports_idle: whether one server always reports that it is idle.
     """
 
     workload: Workload
-    per_ms: float
+    capacity_per_ms: float
     load: float
     seed: int
     arrivals_ms: int = 240_000
-    election_timeout_ms: int = 600_000
+    completion_timeout_ms: int = 600_000
     lost: str = ""
-    lying: bool = False
+    reports_idle: bool = False
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What a run gave; latencies are in milliseconds.
+    """Results of a run; latencies are in milliseconds.
 
     Attributes:
-        floors: how long the same programs take on idle servers that hold
-            every prefix; nothing can be faster.
-        unfinished: programs cut by the end of the run; their latency so far
-            counts among the others.
+        latencies: latency of each program without a parent.
+        by_shape: the same latencies by shape of the program.
+        refused: how many times the scheduler refused a call.
+        late: calls answered after their deadline.
+        floors: lower bounds of the latencies: the time that the same programs
+            take on idle servers that hold every prefix.
+        unfinished: programs still active at the end of the run; `latencies`
+            contains their time so far.
+        unknown: non-idempotent calls with an unknown outcome.
     """
 
     latencies: list[float] = dataclasses.field(default_factory=list)
     by_shape: dict[str, list[float]] = dataclasses.field(default_factory=dict)
-    waste: Waste = dataclasses.field(default_factory=Waste)
+    waste: CacheWaste = dataclasses.field(default_factory=CacheWaste)
     link_bytes: int = 0
     refused: int = 0
     late: int = 0
@@ -81,162 +92,182 @@
 
 
 class World:
-    """A run in progress."""
+    """State and event handlers of a run."""
 
     def __init__(
         self,
         plan: RunPlan,
-        make: Callable[[servers.ServerView], scheduler.Scheduler],
+        make_scheduler: Callable[[servers.ServerView], scheduler.Scheduler],
     ) -> None:
         self.plan = plan
-        self.events = Events()
+        self.events = EventLoop()
         self.outcome = Outcome()
         self.system = Segment("", plan.workload.system_tokens)
         self.leader_domain = plan.workload.domains[0]
         self._rng = random.Random(plan.seed)
-        self._noise = random.Random(plan.seed + 1)
+        self._report_rng = random.Random(plan.seed + 1)
         self._view = servers.ServerView()
-        self.scheduler = make(self._view)
+        self.scheduler = make_scheduler(self._view)
         self._links: dict[tuple[str, str], Link] = {}
-        self._plans = {entry.name: entry for entry in plan.workload.servers}
-        self.machines: dict[str, Engine | Service] = {
-            name: self._machine(entry) for name, entry in self._plans.items()
+        self._server_plans = {
+            entry.name: entry for entry in plan.workload.servers
+        }
+        self.backends: dict[str, Engine | Service] = {
+            name: self._make_backend(entry)
+            for name, entry in self._server_plans.items()
         }
-        self._placed: dict[
+        self._decision_callbacks: dict[
             messages.CallKey, Callable[[jobs.Decision], None]
         ] = {}
-        self._drained: set[str] = set()
-        self._alive: set[ProgramRun] = set()
-        self._arriving = True
+        self._drained_servers: set[str] = set()
+        self._active_runs: set[ProgramRun] = set()
+        self._accepts_programs = True
 
     def run(self) -> Outcome:
-        """Runs to the end and returns what came of it."""
-        for name in self.machines:
-            self._report(name)
-        self.events.after(_TICK_MS, self._tick)
-        self.events.after(_REPORT_EVERY_MS, self._arrive)
+        """Runs the simulation to its end and returns the results."""
+        for name in self.backends:
+            self._send_report(name)
+        self.events.schedule(_TICK_INTERVAL_MS, self._run_tick)
+        self.events.schedule(_REPORT_INTERVAL_MS, self._start_program)
         if self.plan.lost:
-            self.events.after(self.plan.arrivals_ms / 2, self._lose)
-        end = self.plan.arrivals_ms + self.plan.election_timeout_ms
-        self.events.run(end, lambda: not self._arriving and not self._alive)
-        for run in self._alive:
+            self.events.schedule(self.plan.arrivals_ms / 2, self._inject_fault)
+        end_ms = self.plan.arrivals_ms + self.plan.completion_timeout_ms
+        self.events.run(
+            end_ms, lambda: not self._accepts_programs and not self._active_runs
+        )
+        for run in self._active_runs:
             if run.parent is None:
                 self.outcome.unfinished += 1
-                self._count(run)
+                self._record_latency(run)
         self.outcome.link_bytes = sum(
-            link.bytes for link in self._links.values()
+            link.sent_bytes for link in self._links.values()
         )
         return self.outcome
 
-    def started(self, run: ProgramRun) -> None:
-        """Notes a program under way."""
-        self._alive.add(run)
+    def add_run(self, run: ProgramRun) -> None:
+        """Adds a program to the active ones."""
+        self._active_runs.add(run)
 
-    def ended(self, run: ProgramRun) -> None:
-        """Releases what a program held, under any policy."""
-        self._alive.discard(run)
+    def end_run(self, run: ProgramRun) -> None:
+        """Ends a program and drops its segments from every cache.
+
+        This happens under each variant alike.
+        """
+        self._active_runs.discard(run)
         self.scheduler.end_program(run.key)
-        for machine in self.machines.values():
-            if isinstance(machine, Engine):
-                machine.cache.release(run.own)
+        for backend in self.backends.values():
+            if isinstance(backend, Engine):
+                backend.cache.release(run.own_segments)
         if run.parent is None:
-            self._count(run)
+            self._record_latency(run)
 
     def submit(
-        self, job: jobs.Job, then: Callable[[jobs.Decision], None]
+        self, job: jobs.Job, callback: Callable[[jobs.Decision], None]
     ) -> None:
-        """Hands a call to the leader's scheduler."""
-        self._placed[job.key] = then
-        self._decided(self.scheduler.submit(job, round(self.events.now_ms)))
+        """Submits a call to the leader's scheduler."""
+        self._decision_callbacks[job.key] = callback
+        self._handle_decisions(
+            self.scheduler.submit(job, round(self.events.now_ms))
+        )
 
-    def freed(self, key: messages.CallKey, usage: messages.Usage) -> None:
-        """Tells the leader that a call's attempt has ended."""
+    def end_attempt(self, key: messages.CallKey, usage: messages.Usage) -> None:
+        """Reports the end of a call's attempt to the scheduler."""
         now = round(self.events.now_ms)
-        self._decided(self.scheduler.end_call(key, now, usage))
+        self._handle_decisions(self.scheduler.end_call(key, now, usage))
 
-    def travel(
-        self, here: Domain, there: Domain, size: int, then: Callable[[], None]
+    def send(
+        self,
+        source: Domain,
+        destination: Domain,
+        size_bytes: int,
+        callback: Callable[[], None],
     ) -> None:
-        """Carries a message between two hosts."""
-        if here.region != there.region:
-            pair = (here.region, there.region)
-            if pair not in self._links:
-                self._links[pair] = Link(self.events, _REGION_DELAY_MS)
-            self._links[pair].send(size, then)
-        elif here != there:
-            self.events.after(self.plan.workload.domain_delay_ms, then)
+        """Sends a message and runs `callback` when it has arrived."""
+        if source.region != destination.region:
+            regions = (source.region, destination.region)
+            if regions not in self._links:
+                self._links[regions] = Link(self.events, _REGION_DELAY_MS)
+            self._links[regions].send(size_bytes, callback)
+        elif source != destination:
+            self.events.schedule(self.plan.workload.domain_delay_ms, callback)
         else:
-            self.events.after(0.0, then)
+            self.events.schedule(0.0, callback)
 
-    def _machine(self, plan: ServerPlan) -> Engine | Service:
+    def _make_backend(self, plan: ServerPlan) -> Engine | Service:
         if plan.engine is not None:
             return Engine(self.events, plan.engine, self.outcome.waste)
         return Service(self.events, plan.slots)
 
-    def _decided(self, decisions: list[jobs.Decision]) -> None:
+    def _handle_decisions(self, decisions: list[jobs.Decision]) -> None:
         for decision in decisions:
-            self._placed.pop(decision.key)(decision)
+            self._decision_callbacks.pop(decision.key)(decision)
 
-    def _tick(self) -> None:
+    def _run_tick(self) -> None:
         now = round(self.events.now_ms)
         self._view.forget_silent(now)
-        self._decided(self.scheduler.tick(now))
-        self.events.after(_TICK_MS, self._tick)
+        self._handle_decisions(self.scheduler.tick(now))
+        self.events.schedule(_TICK_INTERVAL_MS, self._run_tick)
 
-    def _arrive(self) -> None:
+    def _start_program(self) -> None:
         if self.events.now_ms > self.plan.arrivals_ms:
-            self._arriving = False
+            self._accepts_programs = False
             return
         name = f"p{self.events.now_ms:.0f}-{self._rng.random():.9f}"
-        script = self.plan.workload.make(self._rng, name)
+        script = self.plan.workload.make_script(self._rng, name)
         ProgramRun(self, script, [self.system], None).start()
-        rate = self.plan.per_ms * self.plan.load
-        self.events.after(self._rng.expovariate(rate), self._arrive)
+        programs_per_ms = self.plan.capacity_per_ms * self.plan.load
+        self.events.schedule(
+            self._rng.expovariate(programs_per_ms), self._start_program
+        )
 
-    def _lose(self) -> None:
+    def _inject_fault(self) -> None:
         workload = self.plan.workload
         if self.plan.lost == "drain":
-            self._drained.add(workload.lost_server)
+            self._drained_servers.add(workload.lost_server)
             return
-        for name, machine in self.machines.items():
-            domain = self._plans[name].domain.name
-            gone = (
+        for name, backend in self.backends.items():
+            domain = self._server_plans[name].domain.name
+            fails = (
                 name == workload.lost_server
                 if self.plan.lost == "server"
                 else domain == workload.lost_domain
             )
-            if gone:
-                machine.lose()
+            if fails:
+                backend.fail()
 
-    def _report(self, name: str) -> None:
-        machine = self.machines[name]
-        if machine.lost:
+    def _send_report(self, name: str) -> None:
+        backend = self.backends[name]
+        if backend.failed:
             return
-        lag = self._noise.uniform(*_REPORT_LAG_MS)
-        if self._noise.random() >= _REPORT_LOST:
-            report = self._content(self._plans[name], machine)
-            made = round(self.events.now_ms)
-            self.events.after(
-                lag, functools.partial(self._view.apply_report, report, made)
+        delay_ms = self._report_rng.uniform(*_REPORT_DELAY_RANGE_MS)
+        if self._report_rng.random() >= _REPORT_LOSS_SHARE:
+            report = self._make_report(self._server_plans[name], backend)
+            sent_ms = round(self.events.now_ms)
+            self.events.schedule(
+                delay_ms,
+                functools.partial(self._view.apply_report, report, sent_ms),
             )
-        self.events.after(
-            _REPORT_EVERY_MS, functools.partial(self._report, name)
+        self.events.schedule(
+            _REPORT_INTERVAL_MS, functools.partial(self._send_report, name)
         )
 
-    def _content(
-        self, plan: ServerPlan, machine: Engine | Service
+    def _make_report(
+        self, plan: ServerPlan, backend: Engine | Service
     ) -> messages.ServerReport:
         held: list[str] = []
         capacity, cache = plan.slots, 0
-        if isinstance(machine, Engine):
-            capacity = machine.shape.slots
-            cache = machine.shape.cache_tokens
+        if isinstance(backend, Engine):
+            capacity = backend.spec.slots
+            cache = backend.spec.cache_tokens
             held = [
                 f"{_ACCOUNT}/{program}"
-                for program in sorted(machine.cache.held())
-                if self._noise.random() >= _HELD_GAP
+                for program in sorted(backend.cache.programs())
+                if self._report_rng.random() >= _HELD_OMITTED_SHARE
             ]
-        lies = self.plan.lying and plan.name == self.plan.workload.lost_server
+        hides_load = (
+            self.plan.reports_idle
+            and plan.name == self.plan.workload.lost_server
+        )
         return messages.ServerReport(
             server=plan.name,
             incarnation="1",
@@ -247,29 +278,35 @@
             region=plan.domain.region,
             capacity=capacity,
             cache_tokens=cache,
-            running=0 if lies else machine.running,
-            waiting=0 if lies else machine.waiting,
+            running=0 if hides_load else backend.running,
+            waiting=0 if hides_load else backend.waiting,
             held=held,
         )
 
-    def allowed(self, report: messages.ServerReport) -> bool:
-        """Returns whether the configuration lets calls go to a server."""
-        return report.server not in self._drained
+    def is_allowed(self, report: messages.ServerReport) -> bool:
+        """Returns whether a server may get new calls: it isn't drained."""
+        return report.server not in self._drained_servers
 
     def domain_of(self, server: str) -> Domain:
-        """Returns where a server stands."""
-        return self._plans[server].domain
-
-    def _count(self, run: ProgramRun) -> None:
-        latency = self.events.now_ms - run.started_ms
-        self.outcome.latencies.append(latency)
-        floor = workloads.floor_ms(self.plan.workload, run.script)
-        self.outcome.floors.append(floor)
-        self.outcome.by_shape.setdefault(run.script.shape, []).append(latency)
+        """Returns the failure domain of a server."""
+        return self._server_plans[server].domain
+
+    def _record_latency(self, run: ProgramRun) -> None:
+        latency_ms = self.events.now_ms - run.started_ms
+        self.outcome.latencies.append(latency_ms)
+        floor_ms = workloads.floor_ms(self.plan.workload, run.script)
+        self.outcome.floors.append(floor_ms)
+        self.outcome.by_shape.setdefault(run.script.shape, []).append(
+            latency_ms
+        )
 
 
 class ProgramRun:
-    """A program that makes its calls, one after another."""
+    """A running program, which makes its calls one after another.
+
+    Attributes:
+        own_segments: segments that this program added to the context.
+    """
 
     def __init__(
         self,
@@ -282,197 +319,217 @@
         self.parent = parent
         self.key = messages.ProgramKey(account=_ACCOUNT, program=script.program)
         self.started_ms = world.events.now_ms
-        self.own: list[Segment] = []
+        self.own_segments: list[Segment] = []
         self._world = world
         self._context = context
-        self._position = 0
+        self._next_step = 0
         self._turns = 0
-        self._attained = 0
+        self._attained_tokens = 0
         self._last_server: str = (
             parent._last_server if parent is not None else ""
         )
-        self._regions = {script.domain.region}
+        self._regions_with_context = {script.domain.region}
         if parent is not None:
-            self._regions |= parent._regions
-        self._waits = 0
+            self._regions_with_context |= parent._regions_with_context
+        self._pending_count = 0
 
     def start(self) -> None:
-        """Makes the first call."""
-        self._world.started(self)
-        self._call()
+        """Registers the program and makes its first call."""
+        self._world.add_run(self)
+        self._start_next_call()
 
-    def _call(self) -> None:
-        if self._position == len(self.script.steps):
-            self._world.ended(self)
+    def _start_next_call(self) -> None:
+        if self._next_step == len(self.script.steps):
+            self._world.end_run(self)
             if self.parent is not None:
-                self.parent._one_done()
+                self.parent._finish_pending()
             return
-        step = self.script.steps[self._position]
+        step = self.script.steps[self._next_step]
         world = self._world
         call = _CallRun(world, self, step)
-        world.events.after(
+        world.events.schedule(
             _CLIENT_DELAY_MS,
-            lambda: world.travel(
+            lambda: world.send(
                 self.script.domain,
                 world.leader_domain,
-                _BYTES_PER_MESSAGE,
-                call.ask,
+                _MESSAGE_OVERHEAD_BYTES,
+                call.submit,
             ),
         )
 
-    def answered(self, step: Step, server: str) -> None:
-        """Takes an answer and goes on."""
-        self._position += 1
+    def handle_answer(self, step: Step, server: str) -> None:
+        """Starts the pause and the sub-agents that follow an answer."""
+        self._next_step += 1
         if step.target == self._world.plan.workload.model:
             self._turns += 1
-            self._attained += step.new_tokens + step.work
+            self._attained_tokens += step.new_tokens + step.work
             self._last_server = server
-        self._waits = 1 + len(step.children)
-        self._world.events.after(step.pause_ms, self._one_done)
+        self._pending_count = 1 + len(step.children)
+        self._world.events.schedule(step.pause_ms, self._finish_pending)
         for child in step.children:
             ProgramRun(self._world, child, list(self._context), self).start()
 
-    def _one_done(self) -> None:
-        self._waits -= 1
-        if self._waits == 0:
-            self._call()
+    def _finish_pending(self) -> None:
+        self._pending_count -= 1
+        if self._pending_count == 0:
+            self._start_next_call()
 
-    def job(self, call: _CallRun, failed: tuple[str, ...]) -> jobs.Job:
-        """Returns what the leader knows of a call."""
+    def make_job(
+        self, call: _CallRun, failed_servers: tuple[str, ...]
+    ) -> jobs.Job:
+        """Returns the job that the leader's scheduler gets for a call."""
         step = call.step
-        model = step.target == self._world.plan.workload.model
+        is_model_call = step.target == self._world.plan.workload.model
         history = sum(segment.tokens for segment in self._context)
-        shared = history - sum(segment.tokens for segment in self.own)
+        shared = history - sum(segment.tokens for segment in self.own_segments)
         return jobs.Job(
             key=call.key,
-            kind="model" if model else "service",
+            kind="model" if is_model_call else "service",
             target=step.target,
-            prompt_tokens=history + step.new_tokens if model else 0,
-            history_tokens=history if model else 0,
-            max_tokens=_MAX_TOKENS if model else 0,
+            prompt_tokens=history + step.new_tokens if is_model_call else 0,
+            history_tokens=history if is_model_call else 0,
+            max_tokens=_MAX_TOKENS if is_model_call else 0,
             turns=self._turns,
-            attained_tokens=self._attained,
+            attained_tokens=self._attained_tokens,
             region=self.script.domain.region,
             last_server=self._last_server,
-            deadline_ms=round(call.begun_ms) + self.script.deadline_ms,
-            excluded_servers=failed,
+            deadline_ms=round(call.started_ms) + self.script.deadline_ms,
+            excluded_servers=failed_servers,
             interactive=self.script.interactive,
             parent=self.parent.script.program if self.parent else "",
             shared_tokens=shared,
-            is_allowed=self._world.allowed,
+            is_allowed=self._world.is_allowed,
         )
 
-    def chain(self, segment: Segment) -> list[Segment]:
-        """Returns the context with a call's new segment."""
+    def context_with(self, segment: Segment) -> list[Segment]:
+        """Returns the context followed by a call's new segment."""
         return [*self._context, segment]
 
-    def keep(self, segment: Segment) -> None:
-        """Adds an answered turn to the context."""
-        self.own.append(segment)
+    def append_segment(self, segment: Segment) -> None:
+        """Appends the segment of an answered turn to the context."""
+        self.own_segments.append(segment)
         self._context.append(segment)
 
-    def new_in(self, region: str) -> int:
-        """Returns the tokens of history that `region` has not seen yet."""
-        if region in self._regions:
+    def mark_sent(self, region: str) -> int:
+        """Marks the context as sent to a region.
+
+        Returns:
+            The number of context tokens that must be sent, 0 if the region
+            has been marked before.
+        """
+        if region in self._regions_with_context:
             return 0
-        self._regions.add(region)
+        self._regions_with_context.add(region)
         return sum(segment.tokens for segment in self._context)
 
 
 class _CallRun:
-    """A call from its client to the last byte of its answer."""
+    """A call, from the client's request to the end of the answer."""
 
     def __init__(self, world: World, run: ProgramRun, step: Step) -> None:
         self.step = step
-        self.begun_ms = world.events.now_ms
-        number = f"{run._position}"
+        self.started_ms = world.events.now_ms
+        request_id = f"{run._next_step}"
         self.key = messages.CallKey(
-            account=_ACCOUNT, program=run.script.program, request_id=number
+            account=_ACCOUNT, program=run.script.program, request_id=request_id
         )
         self._world = world
         self._run = run
-        self._failed: tuple[str, ...] = ()
-        self._model = step.target == world.plan.workload.model
+        self._failed_servers: tuple[str, ...] = ()
+        self._is_model_call = step.target == world.plan.workload.model
         self._segment = Segment(run.script.program, step.new_tokens)
 
-    def ask(self) -> None:
-        """Arrives at the leader."""
-        self._world.submit(self._run.job(self, self._failed), self._decided)
+    def submit(self) -> None:
+        """Submits the call to the leader."""
+        self._world.submit(
+            self._run.make_job(self, self._failed_servers),
+            self._handle_decision,
+        )
 
-    def _decided(self, decision: jobs.Decision) -> None:
+    def _handle_decision(self, decision: jobs.Decision) -> None:
         if isinstance(decision, jobs.Reject):
             self._world.outcome.refused += 1
-            self._failed = ()
-            wait = max(100, decision.retry_after_ms)
-            self._world.events.after(wait, self.ask)
+            self._failed_servers = ()
+            delay_ms = max(100, decision.retry_after_ms)
+            self._world.events.schedule(delay_ms, self.submit)
             return
         server = decision.server.report.server
-        there = self._world.domain_of(server)
-        here = self._run.script.domain
-        size = _BYTES_PER_MESSAGE
-        if here.region != there.region and self._model:
-            tokens = self.step.new_tokens + self._run.new_in(there.region)
-            size += round(tokens * _BYTES_PER_TOKEN)
-        self._world.travel(
+        server_domain = self._world.domain_of(server)
+        client_domain = self._run.script.domain
+        size_bytes = _MESSAGE_OVERHEAD_BYTES
+        if client_domain.region != server_domain.region and self._is_model_call:
+            tokens = self.step.new_tokens + self._run.mark_sent(
+                server_domain.region
+            )
+            size_bytes += round(tokens * _BYTES_PER_TOKEN)
+        self._world.send(
             self._world.leader_domain,
-            here,
-            _BYTES_PER_MESSAGE,
-            lambda: self._world.travel(
-                here, there, size, lambda: self._dispatch(server)
+            client_domain,
+            _MESSAGE_OVERHEAD_BYTES,
+            lambda: self._world.send(
+                client_domain,
+                server_domain,
+                size_bytes,
+                lambda: self._dispatch(server),
             ),
         )
 
     def _dispatch(self, server: str) -> None:
-        chain = self._run.chain(self._segment) if self._model else []
+        segments = (
+            self._run.context_with(self._segment) if self._is_model_call else []
+        )
         req = Request(
-            chain,
+            segments,
             float(self.step.work),
-            lambda ran: self._served(server, req, ran),
+            lambda ran: self._handle_result(server, req, ran),
         )
-        self._world.machines[server].submit(req)
+        self._world.backends[server].submit(req)
 
-    def _served(self, server: str, req: Request, ran: bool) -> None:
-        there = self._world.domain_of(server)
-        here = self._run.script.domain
-        size = _BYTES_PER_MESSAGE
+    def _handle_result(self, server: str, req: Request, ran: bool) -> None:
+        server_domain = self._world.domain_of(server)
+        client_domain = self._run.script.domain
+        size_bytes = _MESSAGE_OVERHEAD_BYTES
         usage = messages.Usage()
-        if ran and self._model:
-            size += self.step.work * _BYTES_PER_STREAMED_TOKEN
-            self._run.keep(self._segment)
-            context = sum(segment.tokens for segment in req.chain)
+        if ran and self._is_model_call:
+            size_bytes += self.step.work * _BYTES_PER_STREAMED_TOKEN
+            self._run.append_segment(self._segment)
+            context = sum(segment.tokens for segment in req.segments)
             usage = messages.Usage(
                 prompt_tokens=context - self.step.work,
                 completion_tokens=self.step.work,
                 cached_tokens=req.cached_tokens,
             )
-        self._world.travel(
-            there,
-            here,
-            size,
-            lambda: self._world.travel(
-                here,
+        self._world.send(
+            server_domain,
+            client_domain,
+            size_bytes,
+            lambda: self._world.send(
+                client_domain,
                 self._world.leader_domain,
-                _BYTES_PER_MESSAGE,
-                lambda: self._finished(server, ran, usage),
+                _MESSAGE_OVERHEAD_BYTES,
+                lambda: self._end_attempt(server, ran, usage),
             ),
         )
 
-    def _finished(self, server: str, ran: bool, usage: messages.Usage) -> None:
-        self._world.freed(self.key, usage)
+    def _end_attempt(
+        self, server: str, ran: bool, usage: messages.Usage
+    ) -> None:
+        self._world.end_attempt(self.key, usage)
         if not ran and self.step.idempotent:
-            self._failed = (*self._failed, server)
-            self.ask()
+            self._failed_servers = (*self._failed_servers, server)
+            self.submit()
             return
         if not ran:
-            # A non-idempotent call is answered with an unknown outcome.
+            # The client is told that the outcome of a non-idempotent call is
+            # unknown; the call isn't retried.
             self._world.outcome.unknown += 1
-        waited = self._world.events.now_ms - self.begun_ms
-        if waited > self._run.script.deadline_ms:
+        latency_ms = self._world.events.now_ms - self.started_ms
+        if latency_ms > self._run.script.deadline_ms:
             self._world.outcome.late += 1
-        back = functools.partial(self._run.answered, self.step, server)
-        self._world.travel(
+        deliver = functools.partial(self._run.handle_answer, self.step, server)
+        self._world.send(
             self._world.leader_domain,
             self._run.script.domain,
-            _BYTES_PER_MESSAGE,
-            lambda: self._world.events.after(_CLIENT_DELAY_MS, back),
+            _MESSAGE_OVERHEAD_BYTES,
+            lambda: self._world.events.schedule(_CLIENT_DELAY_MS, deliver),
         )
