--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the workloads under each variant and writes a table and plots."""
+"""Runs the workloads under each variant and writes tables and plots."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 from bench import figures, plots, variants, workloads, world
 
-# Seeds for changing the policy, and seeds that only reports may use.
+# Tuning seeds are for changes of the policy; reporting seeds are used only for
+# reports, so that the policy isn't fitted to them.
 TUNING_SEEDS = (1, 2, 3, 4)
 REPORTING_SEEDS = (101, 102, 103)
 
@@ -20,15 +21,20 @@
 
 
 def cases(user: str, quick: bool) -> list[tuple[str, float, str, bool]]:
-    """Returns name, load, what is lost and whether a server lies."""
+    """Returns the cases to run.
+
+    Returns:
+        For each case its name, load, fault (see `RunPlan.lost`) and whether
+        a server always reports that it is idle.
+    """
     if quick:
         return [("0.8", 0.8, "", False)]
-    listed = [
+    load_cases = [
         (name, load, "", False)
         for name, load in zip(_LOAD_CASES, LOADS, strict=True)
     ]
     return [
-        *listed,
+        *load_cases,
         ("server lost", _FAULT_LOAD, "server", False),
         ("domain lost", _FAULT_LOAD, "domain", False),
         ("server drained", _FAULT_LOAD, "drain", False),
@@ -37,8 +43,8 @@
 
 
 def main() -> None:
-    """Runs what the command line asks for."""
-    args = _arguments()
+    """Runs the selected cases and writes the results."""
+    args = _parse_arguments()
     seeds: tuple[int, ...] = TUNING_SEEDS if args.tuning else REPORTING_SEEDS
     if args.quick:
         seeds = seeds[:1]
@@ -48,10 +54,14 @@
     for user in args.users:
         rows += _run_user(args, user, seeds)
     name = args.name or "-".join([*args.users, args.part or "all"])
-    text = figures.table(rows) + "\n" + figures.ratios(rows, variants.POLICY)
+    text = (
+        figures.format_table(rows)
+        + "\n"
+        + figures.format_ratios(rows, variants.POLICY)
+    )
     (folder / f"{name}.md").write_text(f"seeds {seeds}\n\n{text}")
     (folder / f"{name}.json").write_text(
-        json.dumps([figures.as_map(one) for one in rows], indent=1)
+        json.dumps([figures.row_to_dict(row) for row in rows], indent=1)
     )
     print(text)
     if not args.quick:
@@ -62,33 +72,42 @@
     args: argparse.Namespace, user: str, seeds: tuple[int, ...]
 ) -> list[figures.Row]:
     workload = workloads.WORKLOADS[user]()
-    per_ms = workloads.capacity(workload)
+    capacity_per_ms = workloads.capacity(workload)
     rows = []
-    for case, load, lost, lying in cases(user, args.quick):
+    for case, load, fault, reports_idle in cases(user, args.quick):
         if args.cases and case not in args.cases:
             continue
         if args.part and (args.part == "loads") != (case in _LOAD_CASES):
             continue
         for variant in args.variants or variants.VARIANTS:
-            begin = time.monotonic()
+            start_s = time.monotonic()
             outcomes = []
             for seed in seeds:
                 plan = world.RunPlan(
-                    workload, per_ms, load, seed, lost=lost, reports_idle=lying
+                    workload,
+                    capacity_per_ms,
+                    load,
+                    seed,
+                    lost=fault,
+                    reports_idle=reports_idle,
                 )
                 if args.quick:
                     plan = world.RunPlan(
-                        workload, per_ms, load, seed, arrivals_ms=_QUICK_MS
+                        workload,
+                        capacity_per_ms,
+                        load,
+                        seed,
+                        arrivals_ms=_QUICK_MS,
                     )
-                made = variants.VARIANTS[variant]
-                outcomes.append(world.World(plan, made).run())
-            rows.append(figures.row(user, case, variant, outcomes))
-            took = time.monotonic() - begin
-            print(f"{user} {case} {variant}: {took:.1f} s", flush=True)
+                make_scheduler = variants.VARIANTS[variant]
+                outcomes.append(world.World(plan, make_scheduler).run())
+            rows.append(figures.summarize(user, case, variant, outcomes))
+            elapsed_s = time.monotonic() - start_s
+            print(f"{user} {case} {variant}: {elapsed_s:.1f} s", flush=True)
     return rows
 
 
-def _arguments() -> argparse.Namespace:
+def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="bench", description=__doc__)
     parser.add_argument("--users", nargs="+", default=["ruegg", "kunci"])
     parser.add_argument("--cases", nargs="+")
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Summary of runs: percentiles, shares, a table."""
+"""Summary of runs, as rows and as Markdown tables."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 if TYPE_CHECKING:
     from bench.world import Outcome
 
-_MB = 1_000_000
+_BYTES_PER_MB = 1_000_000
 
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """What one variant gave in one setting, over all seeds.
+    """Results of one variant in one case, over all seeds.
 
     Attributes:
-        case: the load, or the fault.
+        case: name of the load or of the fault.
         mean_s, p50_s, p95_s, p99_s: program latency, in seconds.
-        floor_s: mean latency on idle servers that hold every prefix.
+        floor_s: mean of the lower bounds of the latencies, that is on idle
+            servers that hold every prefix.
         short_s, long_s: mean latency by shape of the program.
-        waste_share: wasted tokens by tokens that entered the caches.
+        waste_share: wasted tokens divided by tokens that entered the caches.
         late: calls answered after their deadline.
     """
 
@@ -45,7 +46,7 @@
 
     @property
     def delay_s(self) -> float:
-        """Mean latency above the floor."""
+        """Mean latency minus the mean lower bound."""
         return self.mean_s - self.floor_s
 
 
@@ -59,19 +60,21 @@
 
 
 def mean(values: list[float]) -> float:
-    """Returns the mean, 0 of nothing."""
+    """Returns the mean of `values`, or 0 if there are none."""
     return sum(values) / len(values) if values else 0.0
 
 
-def row(user: str, case: str, variant: str, outcomes: list[Outcome]) -> Row:
-    """Sums up the runs of all seeds."""
-    seconds = [ms / 1_000 for one in outcomes for ms in one.latencies]
-    shapes: dict[str, list[float]] = {}
-    for one in outcomes:
-        for shape, values in one.by_shape.items():
-            shapes.setdefault(shape, []).extend(ms / 1_000 for ms in values)
-    wasted = sum(one.waste.wasted_tokens for one in outcomes)
-    filled = sum(one.waste.filled_tokens for one in outcomes)
+def summarize(
+    user: str, case: str, variant: str, outcomes: list[Outcome]
+) -> Row:
+    """Returns the row that summarizes the runs of all seeds."""
+    seconds = [ms / 1_000 for outcome in outcomes for ms in outcome.latencies]
+    by_shape: dict[str, list[float]] = {}
+    for outcome in outcomes:
+        for shape, values in outcome.by_shape.items():
+            by_shape.setdefault(shape, []).extend(ms / 1_000 for ms in values)
+    wasted = sum(outcome.waste.wasted_tokens for outcome in outcomes)
+    filled = sum(outcome.waste.filled_tokens for outcome in outcomes)
     return Row(
         user,
         case,
@@ -81,68 +84,72 @@
         p50_s=percentile(seconds, 0.50),
         p95_s=percentile(seconds, 0.95),
         p99_s=percentile(seconds, 0.99),
-        floor_s=mean([ms / 1_000 for one in outcomes for ms in one.floors]),
-        short_s=mean(shapes.get("short", [])),
-        long_s=mean(shapes.get("long", [])),
+        floor_s=mean(
+            [ms / 1_000 for outcome in outcomes for ms in outcome.floors]
+        ),
+        short_s=mean(by_shape.get("short", [])),
+        long_s=mean(by_shape.get("long", [])),
         waste_tokens=wasted,
         waste_share=wasted / max(1, filled),
-        link_mb=sum(one.link_bytes for one in outcomes) / _MB,
-        refused=sum(one.refused for one in outcomes),
-        late=sum(one.late for one in outcomes),
-        unfinished=sum(one.unfinished for one in outcomes),
-        unknown=sum(one.unknown for one in outcomes),
+        link_mb=sum(outcome.link_bytes for outcome in outcomes) / _BYTES_PER_MB,
+        refused=sum(outcome.refused for outcome in outcomes),
+        late=sum(outcome.late for outcome in outcomes),
+        unfinished=sum(outcome.unfinished for outcome in outcomes),
+        unknown=sum(outcome.unknown for outcome in outcomes),
     )
 
 
-_HEAD = (
+_TABLE_HEADER = (
     "| user | case | variant | programs | mean s | p50 s | p95 s | p99 s"
     " | floor s | short s | long s | wasted ktokens | share | link MB"
     " | refused | late | unfinished | unknown |"
 )
 
 
-def table(rows: list[Row]) -> str:
-    """Returns the rows as a table in Markdown."""
-    lines = [_HEAD, "|" + " --- |" * 18]
-    for one in rows:
+def format_table(rows: list[Row]) -> str:
+    """Returns the rows as a Markdown table."""
+    lines = [_TABLE_HEADER, "|" + " --- |" * 18]
+    for row in rows:
         cells = [
-            one.user,
-            one.case,
-            one.variant,
-            str(one.programs),
-            *(f"{s:.2f}" for s in (one.mean_s, one.p50_s, one.p95_s)),
-            *(f"{s:.2f}" for s in (one.p99_s, one.floor_s)),
-            *(f"{s:.2f}" for s in (one.short_s, one.long_s)),
-            f"{one.waste_tokens / 1_000:.0f}",
-            f"{one.waste_share:.3f}",
-            f"{one.link_mb:.1f}",
-            *map(str, (one.refused, one.late, one.unfinished, one.unknown)),
+            row.user,
+            row.case,
+            row.variant,
+            str(row.programs),
+            *(f"{s:.2f}" for s in (row.mean_s, row.p50_s, row.p95_s)),
+            *(f"{s:.2f}" for s in (row.p99_s, row.floor_s)),
+            *(f"{s:.2f}" for s in (row.short_s, row.long_s)),
+            f"{row.waste_tokens / 1_000:.0f}",
+            f"{row.waste_share:.3f}",
+            f"{row.link_mb:.1f}",
+            *map(str, (row.refused, row.late, row.unfinished, row.unknown)),
         ]
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines) + "\n"
 
 
-def ratios(rows: list[Row], policy: str) -> str:
-    """Returns, for each case, the policy's figures by the best baseline's.
+def format_ratios(rows: list[Row], policy: str) -> str:
+    """Returns a Markdown table of the policy's results in each case.
 
-    The column `delay` compares what the mean latency has above the floor.
+    Each result is divided by that of the best baseline. The column `delay`
+    compares the mean latencies minus their lower bounds.
     """
     lines = [
         "| user | case | mean | delay | p99 | wasted tokens | wasted share |",
         "|" + " --- |" * 7,
     ]
-    for ours in rows:
-        if ours.variant != policy:
+    for policy_row in rows:
+        if policy_row.variant != policy:
             continue
-        others = [
-            other
-            for other in rows
-            if (other.user, other.case) == (ours.user, ours.case)
-            and other.variant != policy
+        baselines = [
+            baseline
+            for baseline in rows
+            if (baseline.user, baseline.case)
+            == (policy_row.user, policy_row.case)
+            and baseline.variant != policy
         ]
-        if not others:
+        if not baselines:
             continue
-        cells = [ours.user, ours.case]
+        cells = [policy_row.user, policy_row.case]
         for field in (
             "mean_s",
             "delay_s",
@@ -150,13 +157,13 @@
             "waste_tokens",
             "waste_share",
         ):
-            best = min(getattr(other, field) for other in others)
-            value = getattr(ours, field)
+            best = min(getattr(baseline, field) for baseline in baselines)
+            value = getattr(policy_row, field)
             cells.append(f"{value / best:.2f}" if best else f"{value:g}/0")
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines) + "\n"
 
 
-def as_map(one: Row) -> dict[str, object]:
-    """Returns a row for a JSON file."""
-    return dataclasses.asdict(one)
+def row_to_dict(row: Row) -> dict[str, object]:
+    """Returns a row as a dictionary for a JSON file."""
+    return dataclasses.asdict(row)
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the table, as PNG files."""
+"""Plots of the results, as PNG files."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
     from bench.figures import Row
 
-_PLOTS = {
+_LABELS_BY_FIELD = {
     "mean_s": "mean program latency, s",
     "p99_s": "p99 program latency, s",
     "waste_share": "wasted share of cache fills",
@@ -17,25 +17,25 @@
 
 
 def write(rows: list[Row], folder: pathlib.Path, name: str) -> None:
-    """Writes a plot for each user and figure."""
+    """Writes a plot for each user and each field of `_LABELS_BY_FIELD`."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     for user in dict.fromkeys(row.user for row in rows):
-        mine = [row for row in rows if row.user == user]
-        cases = list(dict.fromkeys(row.case for row in mine))
-        for field, label in _PLOTS.items():
+        user_rows = [row for row in rows if row.user == user]
+        cases = list(dict.fromkeys(row.case for row in user_rows))
+        for field, label in _LABELS_BY_FIELD.items():
             figure, axes = pyplot.subplots(figsize=(8, 4.5))
-            for variant in dict.fromkeys(row.variant for row in mine):
-                values = {
+            for variant in dict.fromkeys(row.variant for row in user_rows):
+                values_by_case = {
                     row.case: getattr(row, field)
-                    for row in mine
+                    for row in user_rows
                     if row.variant == variant
                 }
-                shown = [values.get(case) for case in cases]
-                axes.plot(cases, shown, marker="o", label=variant)
+                values_in_order = [values_by_case.get(case) for case in cases]
+                axes.plot(cases, values_in_order, marker="o", label=variant)
             axes.set_ylabel(label)
             axes.set_xlabel("share of capacity, or fault at 0.8")
             axes.set_title(user)
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -1,4 +1,4 @@
-"""What is compared: the baselines and the policy."""
+"""The variants that are compared: three baselines and the policy."""
 
 from __future__ import annotations
 
@@ -11,28 +11,32 @@
 
     from catkinpin.core.placement.servers import ServerView
 
-    Make = Callable[[ServerView], scheduler.Scheduler]
+    SchedulerFactory = Callable[[ServerView], scheduler.Scheduler]
 
 POLICY = "policy"
 
 
-def _baseline(make: Callable[[], candidates.Policy]) -> Make:
-    return lambda view: scheduler.Scheduler(view, make())
+def _baseline_factory(
+    make_policy: Callable[[], candidates.Policy],
+) -> SchedulerFactory:
+    return lambda view: scheduler.Scheduler(view, make_policy())
 
 
-def _policy(view: ServerView) -> scheduler.Scheduler:
-    prices = candidates.CostModel()
+def _make_policy_scheduler(view: ServerView) -> scheduler.Scheduler:
+    cost_model = candidates.CostModel()
     return scheduler.Scheduler(
         view,
-        candidates.by_cost(prices),
+        candidates.by_cost(cost_model),
         scheduler.QueueOptions(),
-        candidates.home_is_cheapest(prices),
+        candidates.home_is_cheapest(cost_model),
     )
 
 
-VARIANTS: dict[str, Make] = {
-    "round robin": _baseline(candidates.round_robin),
-    "least outstanding": _baseline(lambda: candidates.least_outstanding),
-    "sticky": _baseline(lambda: candidates.sticky),
-    POLICY: _policy,
+VARIANTS: dict[str, SchedulerFactory] = {
+    "round robin": _baseline_factory(candidates.round_robin),
+    "least outstanding": _baseline_factory(
+        lambda: candidates.least_outstanding
+    ),
+    "sticky": _baseline_factory(lambda: candidates.sticky),
+    POLICY: _make_policy_scheduler,
 }
