--- a/bench/shardcost.py
+++ b/bench/shardcost.py
@@ -1,7 +1,7 @@
-"""What calls cost a shard's leader and its followers; for docs/CAPACITY.md.
+"""Measures the cost of calls to a shard's replicas; for docs/CAPACITY.md.
 
-Drives the core alone: no sockets, no disk. The cost of the log and of the
-streams comes on top.
+Runs only the core of a leader and a follower, without sockets and disk. The
+costs of the log and of the streams are not included.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 if TYPE_CHECKING:
     from catkinpin.core.programs.commands import Command
 
-_SERVERS = 325
+_SERVER_COUNT = 325
 _TURN_BYTES = 2_000
-_PROGRAMS = (250, 1_000, 2_000)
-_TURNS = (1, 10, 40)
-_MANY_TURNS_PROGRAMS = 200
+_PROGRAM_COUNTS = (250, 1_000, 2_000)
+_TURN_COUNTS = (1, 10, 40)
+_MANY_TURNS_PROGRAM_COUNT = 200
 _ENTRY = leader.EntryRef(
     process="entry-1", incarnation="e1", region="region-0", address="e:1"
 )
@@ -34,20 +34,20 @@
 
 
 @dataclasses.dataclass
-class Spent:
-    """Seconds of processor time, and bytes that go into the log."""
+class ShardCost:
+    """Time that a leader and a follower use, and bytes written to the log."""
 
     leader_s: float = 0.0
     follower_s: float = 0.0
     log_bytes: int = 0
 
 
-class Driver:
-    """A leader and a follower of a shard, with a log in between."""
+class ReplicatedShard:
+    """A leader and a follower of a shard that apply the same records."""
 
     def __init__(self) -> None:
         view = servers.ServerView()
-        for number in range(_SERVERS):
+        for number in range(_SERVER_COUNT):
             report = messages.ServerReport(
                 server=f"server-{number}",
                 incarnation="1",
@@ -59,12 +59,12 @@
                 capacity=122,
             )
             view.apply_report(report, 0)
-        prices = candidates.CostModel()
+        cost_model = candidates.CostModel()
         jobs = scheduler.Scheduler(
             view,
-            candidates.by_cost(prices),
+            candidates.by_cost(cost_model),
             scheduler.QueueOptions(),
-            candidates.home_is_cheapest(prices),
+            candidates.home_is_cheapest(cost_model),
         )
         deployment = deployments.Deployment(
             name="all", targets=["model"], budget_tokens=1_000_000_000
@@ -72,15 +72,19 @@
         cfg = deployments.Configuration(
             [deployments.Account("account", "0" * 64), deployment]
         )
-        self.spent = Spent()
-        self._state = shard.Shard("shard-0")
-        self._copy = shard.Shard("shard-0")
-        self._leader = leader.ShardLeader(self._state, jobs, cfg)
+        self.cost = ShardCost()
+        self._leader_state = shard.Shard("shard-0")
+        self._follower_state = shard.Shard("shard-0")
+        self._leader = leader.ShardLeader(self._leader_state, jobs, cfg)
         self._leader.entry_connected(_ENTRY)
         self._index = 0
 
-    def call(self, program: str, turn: int) -> None:
-        """Makes one call from its begin to its answer."""
+    def make_call(self, program: str, turn: int) -> None:
+        """Makes one call, from its begin to its answer.
+
+        Raises:
+            RuntimeError: The call got no grant.
+        """
         text = f"{program}/{turn}".encode().ljust(_TURN_BYTES)
         key = messages.CallKey(
             account="account", program=program, request_id=str(turn)
@@ -98,9 +102,9 @@
             prompt_tokens=500,
             max_tokens=500,
         )
-        start = time.perf_counter()
+        start_s = time.perf_counter()
         commands = self._leader.begin(_ENTRY, begin, 0, 0)
-        self.spent.leader_s += time.perf_counter() - start
+        self.cost.leader_s += time.perf_counter() - start_s
         for command in self._commit(commands):
             granted = isinstance(command, Send) and isinstance(
                 command.message, messages.Granted
@@ -123,71 +127,73 @@
             usage=messages.Usage(500, 200, 400),
             messages=[text, text],
         )
-        start = time.perf_counter()
+        start_s = time.perf_counter()
         commands = self._leader.finish(_ENTRY, finish, 0, 0)
-        self.spent.leader_s += time.perf_counter() - start
+        self.cost.leader_s += time.perf_counter() - start_s
         self._commit(commands)
 
     def _commit(self, commands: list[Command]) -> list[Command]:
-        """Appends what is proposed and returns the other commands."""
-        rest: list[Command] = []
-        queue = list(commands)
-        while queue:
-            command = queue.pop(0)
+        """Commits proposed records and returns the other commands."""
+        other_commands: list[Command] = []
+        pending_commands = list(commands)
+        while pending_commands:
+            command = pending_commands.pop(0)
             if not isinstance(command, Propose):
-                rest.append(command)
+                other_commands.append(command)
                 continue
-            start = time.perf_counter()
+            start_s = time.perf_counter()
             payload = codec.encode(command.record)
             record = _decoder.decode(payload)
             self._index += 1
-            effects = self._state.apply(self._index, record)
-            queue += self._leader.handle_applied(record, effects, 0, 0)
-            between = time.perf_counter()
-            self._copy.apply(self._index, _decoder.decode(payload))
-            self.spent.follower_s += time.perf_counter() - between
-            self.spent.leader_s += between - start
-            self.spent.log_bytes += len(payload)
-        return rest
-
-
-def _run(programs: int, turns: int) -> Spent:
-    driver = Driver()
+            effects = self._leader_state.apply(self._index, record)
+            pending_commands += self._leader.handle_applied(
+                record, effects, 0, 0
+            )
+            leader_end_s = time.perf_counter()
+            self._follower_state.apply(self._index, _decoder.decode(payload))
+            self.cost.follower_s += time.perf_counter() - leader_end_s
+            self.cost.leader_s += leader_end_s - start_s
+            self.cost.log_bytes += len(payload)
+        return other_commands
+
+
+def _measure_cost(programs: int, turns: int) -> ShardCost:
+    replicated_shard = ReplicatedShard()
     for turn in range(turns):
         for number in range(programs):
-            driver.call(f"program-{number}", turn)
-    return driver.spent
+            replicated_shard.make_call(f"program-{number}", turn)
+    return replicated_shard.cost
 
 
-def _memory(programs: int, turns: int) -> int:
-    """Returns the bytes of a leader and a follower together."""
-    driver = Driver()
+def _measure_memory_bytes(programs: int, turns: int) -> int:
+    """Returns the memory of a leader and a follower together, in bytes."""
+    replicated_shard = ReplicatedShard()
     tracemalloc.start()
     for turn in range(turns):
         for number in range(programs):
-            driver.call(f"program-{number}", turn)
-    size, _ = tracemalloc.get_traced_memory()
+            replicated_shard.make_call(f"program-{number}", turn)
+    size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return size
+    return size_bytes
 
 
 def main() -> None:
-    """Prints the figures."""
+    """Prints both tables."""
     print("| programs | turns | leader us a call | follower us | log bytes |")
-    sizes = [(programs, 1) for programs in _PROGRAMS]
-    sizes += [(_MANY_TURNS_PROGRAMS, turns) for turns in _TURNS]
-    for programs, turns in sizes:
-        spent = _run(programs, turns)
+    cases = [(programs, 1) for programs in _PROGRAM_COUNTS]
+    cases += [(_MANY_TURNS_PROGRAM_COUNT, turns) for turns in _TURN_COUNTS]
+    for programs, turns in cases:
+        cost = _measure_cost(programs, turns)
         calls = programs * turns
         print(
-            f"| {programs} | {turns} | {spent.leader_s / calls * 1e6:.0f}"
-            f" | {spent.follower_s / calls * 1e6:.0f}"
-            f" | {spent.log_bytes / calls:.0f} |"
+            f"| {programs} | {turns} | {cost.leader_s / calls * 1e6:.0f}"
+            f" | {cost.follower_s / calls * 1e6:.0f}"
+            f" | {cost.log_bytes / calls:.0f} |"
         )
     print("| programs | turns | bytes a program, leader and follower |")
-    for programs, turns in sizes:
-        size = _memory(programs, turns)
-        print(f"| {programs} | {turns} | {size / programs:.0f} |")
+    for programs, turns in cases:
+        size_bytes = _measure_memory_bytes(programs, turns)
+        print(f"| {programs} | {turns} | {size_bytes / programs:.0f} |")
 
 
 if __name__ == "__main__":
