--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the decisions and of what each role costs."""
+"""Benchmarks of scheduling decisions and of the cost of each process role."""
--- a/bench/controlbench.py
+++ b/bench/controlbench.py
@@ -1,9 +1,9 @@
-"""What the control group costs a node: bytes and processor time.
+"""Measures the traffic and processor time that the control group costs a node.
 
-Stand-ins of nodes run in this process, each with an entry's real streams to
-real replica processes, its lease and its configuration. Bytes are counted by
-relays in between, in a run of their own, since the relays cost processor time
-too. The figures are slopes over the number of stand-ins; see
+This process simulates nodes. Each has the production code of an entry's streams
+to real replica processes, of its lease and of its configuration. Relays between
+them count bytes; this needs a separate run, because the relays use processor
+time too. The cost per node is the slope over the number of simulated nodes; see
 docs/design/control-traffic.md.
 """
 
@@ -31,42 +31,41 @@
 from catkinpin.core.programs import sharding
 from tests import base
 
-# An IPv4 and a TCP header with timestamps, for a segment and its
-# acknowledgement.
-_HEADERS = 2 * (20 + 32)
-_CHANGES_A_DAY = 7_300
-_DAY_S = 86_400
+# IPv4 and TCP headers (with timestamps) of a segment and its acknowledgement.
+_HEADER_BYTES_PER_CHUNK = 2 * (20 + 32)
+_CHANGES_PER_DAY = 7_300
+_SECONDS_PER_DAY = 86_400
 _WARM_UP_S = 4.0
-_STOP_S = 5.0
+_STOP_TIMEOUT_S = 5.0
 
 
 @dataclasses.dataclass
-class Counted:
-    """What passed the relays.
+class TrafficCount:
+    """Traffic that the relays have forwarded.
 
     Attributes:
-        payload: bytes of TCP payload, both ways.
-        chunks: reads that carried them, a stand-in for segments.
+        payload_bytes: TCP payload in both directions.
+        chunk_count: number of reads, as an estimate of the number of segments.
     """
 
-    payload: int = 0
-    chunks: int = 0
+    payload_bytes: int = 0
+    chunk_count: int = 0
 
     @property
-    def on_the_wire(self) -> int:
-        """Bytes with headers, where each chunk is acknowledged alone."""
-        return self.payload + _HEADERS * self.chunks
+    def wire_bytes(self) -> int:
+        """Bytes including headers, if each chunk is acknowledged separately."""
+        return self.payload_bytes + _HEADER_BYTES_PER_CHUNK * self.chunk_count
 
 
-class Relay:
-    """Carries connections to a replica and counts."""
+class CountingRelay:
+    """Forwards connections to a replica and counts their traffic."""
 
-    def __init__(self, target: str, counted: Counted) -> None:
+    def __init__(self, target: str, traffic: TrafficCount) -> None:
         self._target = target
-        self._counted = counted
+        self._traffic = traffic
 
     async def start(self) -> str:
-        """Listens and returns the address."""
+        """Starts to listen and returns the relay's address."""
         server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self._server = server
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -77,21 +76,27 @@
         host, _, port = self._target.rpartition(":")
         up_reader, up_writer = await asyncio.open_connection(host, int(port))
         await asyncio.gather(
-            self._carry(reader, up_writer), self._carry(up_reader, writer)
+            self._forward(reader, up_writer), self._forward(up_reader, writer)
         )
 
-    async def _carry(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        while data := await reader.read(65_536):
-            self._counted.payload += len(data)
-            self._counted.chunks += 1
-            writer.write(data)
+        while chunk := await reader.read(65_536):
+            self._traffic.payload_bytes += len(chunk)
+            self._traffic.chunk_count += 1
+            writer.write(chunk)
         writer.close()
 
 
-class Node:
-    """A stand-in of an entry: streams, lease, configuration."""
+class SimulatedEntry:
+    """A simulated entry with real streams, lease and configuration.
+
+    Args:
+        name: process name of the entry.
+        replicas: maps each replica's address to the address to connect to,
+            which is that of a relay if bytes are counted.
+    """
 
     def __init__(self, name: str, replicas: dict[str, str]) -> None:
         hello = messages.Hello(
@@ -106,9 +111,12 @@
         self.replicas = shards.Replicas(
             list(replicas.values()), hello, self._handle, lambda _: None
         )
-        # Leaders are named by their own addresses, not by the relays'.
-        for address, through in replicas.items():
-            self.replicas.links[address] = self.replicas.links.pop(through)
+        # Replicas name leaders by the replicas' own addresses, not by those of
+        # the relays.
+        for address, connect_address in replicas.items():
+            self.replicas.links[address] = self.replicas.links.pop(
+                connect_address
+            )
         self.lease = configured.LeaseHolder(
             self.replicas,
             clock.system_clock(),
@@ -124,11 +132,11 @@
             self.lease.renew_now()
 
     async def knows_leader(self) -> bool:
-        """Returns whether changes can be made through this node."""
+        """Returns whether the entry knows the leader of the control group."""
         return bool(self.replicas.knows_leader(sharding.CONTROL_GROUP))
 
-    async def serves(self) -> bool:
-        """Returns whether the node may serve."""
+    async def may_serve(self) -> bool:
+        """Returns whether the entry's lease lets it serve."""
         return self.lease.problem() == ""
 
     async def stop(self) -> None:
@@ -137,11 +145,14 @@
         await self.replicas.stop()
 
 
-async def apply(node: Node, *upserts: items.Item) -> None:
-    """Makes a change through a stand-in."""
+async def apply_change(node: SimulatedEntry, *upserts: items.Item) -> None:
+    """Applies a configuration change through an entry.
+
+    Returns once the entry has the new revision.
+    """
     base_revision = node.configured.revision
 
-    def make(ask: int) -> changes.Apply:
+    def make_apply(ask: int) -> changes.Apply:
         return changes.Apply(
             ask=ask,
             request_id=f"change-{base_revision}",
@@ -150,23 +161,23 @@
             operator="bench",
         )
 
-    applied = await node.replicas.ask(sharding.CONTROL_GROUP, make, 10)
+    applied = await node.replicas.ask(sharding.CONTROL_GROUP, make_apply, 10)
     assert applied.accepted, applied
 
-    async def confirmed() -> bool:
+    async def has_revision() -> bool:
         return bool(node.configured.revision >= applied.revision)
 
-    await base.until(confirmed, "the node has the change")
+    await base.until(has_revision, "the node has the change")
 
 
-def account(number: int, key: str = "") -> items.Account:
-    """Returns an account."""
+def make_account(number: int, key: str = "") -> items.Account:
+    """Returns the account with the given number."""
     digest = configuration.key_digest(f"{number} {key}")
     return items.Account(name=f"account-{number}", key_sha256=digest)
 
 
-def deployment(turn: int) -> items.Deployment:
-    """Returns the deployment that the changes are about."""
+def make_deployment(turn: int) -> items.Deployment:
+    """Returns the deployment that each change replaces."""
     return items.Deployment(
         name="advice",
         targets=["berater", "melder"],
@@ -176,72 +187,79 @@
 
 
 async def measure(args: argparse.Namespace, nodes: int) -> dict[str, Any]:
-    """Returns the figures of one number of stand-ins."""
+    """Measures an idle and a busy interval with `nodes` simulated entries."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="controlbench-"))
-    counted = Counted()
+    traffic = TrafficCount()
     async with base.Cluster(folder) as cluster:
         cluster.add_replicas(args.replicas)
-        through = {address: address for address in cluster.replicas}
+        relay_addresses = {address: address for address in cluster.replicas}
         if args.count_bytes:
-            relays = [Relay(a, counted) for a in cluster.replicas]
+            relays = [CountingRelay(a, traffic) for a in cluster.replicas]
             for address, relay in zip(cluster.replicas, relays, strict=True):
-                through[address] = await relay.start()
+                relay_addresses[address] = await relay.start()
         for name in cluster.admin:
             await cluster.ready(name)
-        first = Node("node-0", through)
-        await base.until(first.knows_leader, "the leader is known")
-        await apply(first, deployment(0), *map(account, range(args.accounts)))
-        found = [first]
+        first_entry = SimulatedEntry("node-0", relay_addresses)
+        await base.until(first_entry.knows_leader, "the leader is known")
+        await apply_change(
+            first_entry,
+            make_deployment(0),
+            *map(make_account, range(args.accounts)),
+        )
+        entries = [first_entry]
         for number in range(1, nodes):
-            found.append(Node(f"node-{number}", through))
-        for node in found:
-            await base.until(node.serves, "a node has its lease", 60)
+            entries.append(SimulatedEntry(f"node-{number}", relay_addresses))
+        for node in entries:
+            await base.until(node.may_serve, "a node has its lease", 60)
         await asyncio.sleep(_WARM_UP_S)
-        idle = await _interval(args, cluster, counted, 0, first)
-        busy = await _interval(args, cluster, counted, args.changes, first)
-        for node in found:
-            await base.until(node.serves, "a node has its lease still", 5)
+        idle = await _measure_interval(args, cluster, traffic, 0, first_entry)
+        busy = await _measure_interval(
+            args, cluster, traffic, args.changes, first_entry
+        )
+        for node in entries:
+            await base.until(node.may_serve, "a node has its lease still", 5)
         result = {"nodes": nodes, "idle": idle, "busy": busy}
-        print(report(result), flush=True)
-        stops = [asyncio.create_task(node.stop()) for node in found]
-        await asyncio.wait(stops, timeout=_STOP_S)
+        print(format_result(result), flush=True)
+        stops = [asyncio.create_task(node.stop()) for node in entries]
+        await asyncio.wait(stops, timeout=_STOP_TIMEOUT_S)
     shutil.rmtree(folder, ignore_errors=True)
     return result
 
 
-async def _interval(
+async def _measure_interval(
     args: argparse.Namespace,
     cluster: base.Cluster,
-    counted: Counted,
+    traffic: TrafficCount,
     change_count: int,
-    node: Node,
+    node: SimulatedEntry,
 ) -> dict[str, float]:
-    """Returns use a second of all stand-ins and replicas together."""
-    before = dataclasses.replace(counted)
-    began, own = time.monotonic(), _own_s()
-    theirs = _replicas_s(cluster)
+    """Returns the use per second of all entries and of all replicas."""
+    before = dataclasses.replace(traffic)
+    start_s, own_cpu_s = time.monotonic(), _read_own_cpu_s()
+    replicas_cpu_s = _read_replicas_cpu_s(cluster)
     for turn in range(change_count):
         await asyncio.sleep(args.seconds / change_count)
-        await apply(node, deployment(turn + 1))
+        await apply_change(node, make_deployment(turn + 1))
     if not change_count:
         await asyncio.sleep(args.seconds)
-    took = time.monotonic() - began
+    elapsed_s = time.monotonic() - start_s
     return {
-        "seconds": took,
+        "seconds": elapsed_s,
         "changes": change_count,
-        "payload": (counted.payload - before.payload) / took,
-        "wire": (counted.on_the_wire - before.on_the_wire) / took,
-        "nodes_cpu": (_own_s() - own) / took,
-        "replicas_cpu": (_replicas_s(cluster) - theirs) / took,
+        "payload": (traffic.payload_bytes - before.payload_bytes) / elapsed_s,
+        "wire": (traffic.wire_bytes - before.wire_bytes) / elapsed_s,
+        "nodes_cpu": (_read_own_cpu_s() - own_cpu_s) / elapsed_s,
+        "replicas_cpu": (_read_replicas_cpu_s(cluster) - replicas_cpu_s)
+        / elapsed_s,
     }
 
 
-def _own_s() -> float:
+def _read_own_cpu_s() -> float:
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
 
-def _replicas_s(cluster: base.Cluster) -> float:
+def _read_replicas_cpu_s(cluster: base.Cluster) -> float:
     """Returns the processor time of all replicas so far, in seconds."""
     ticks = 0
     for process in cluster.processes.values():
@@ -251,36 +269,38 @@
     return ticks / 100
 
 
-def report(result: dict[str, Any]) -> str:
-    """Returns a line for each interval, per node."""
+def format_result(result: dict[str, Any]) -> str:
+    """Returns the text of a result: each interval, and the cost of a change."""
     lines = []
     for name in ("idle", "busy"):
-        one = result[name]
+        interval = result[name]
         nodes = result["nodes"]
         lines.append(
             f"{nodes:4} nodes {name}: payload"
-            f" {one['payload'] / nodes:8.1f} B/s, wire"
-            f" {one['wire'] / nodes:8.1f} B/s, cpu"
-            f" {100 * one['nodes_cpu'] / nodes:6.3f} % a node; replicas"
-            f" {100 * one['replicas_cpu']:6.1f} % together"
+            f" {interval['payload'] / nodes:8.1f} B/s, wire"
+            f" {interval['wire'] / nodes:8.1f} B/s, cpu"
+            f" {100 * interval['nodes_cpu'] / nodes:6.3f} % a node; replicas"
+            f" {100 * interval['replicas_cpu']:6.1f} % together"
         )
     idle, busy = result["idle"], result["busy"]
-    each = busy["seconds"] / max(1, busy["changes"]) / result["nodes"]
-    a_day = _CHANGES_A_DAY / _DAY_S
+    seconds_per_node_change = (
+        busy["seconds"] / max(1, busy["changes"]) / result["nodes"]
+    )
+    changes_per_s = _CHANGES_PER_DAY / _SECONDS_PER_DAY
     for key, unit, scale in (
         ("wire", "B", 1),
         ("nodes_cpu", "ms", 1000),
     ):
-        cost = (busy[key] - idle[key]) * each * scale
+        cost = (busy[key] - idle[key]) * seconds_per_node_change * scale
         lines.append(
             f"     a change costs a node {cost:.2f} {unit}; at"
-            f" {_CHANGES_A_DAY} a day {cost * a_day:.3f} {unit}/s"
+            f" {_CHANGES_PER_DAY} a day {cost * changes_per_s:.3f} {unit}/s"
         )
     return "\n".join(lines)
 
 
 def main() -> None:
-    """Runs what the command line asks for."""
+    """Measures each number of nodes given on the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--nodes", type=int, nargs="+", default=[10, 50, 200])
     parser.add_argument("--replicas", type=int, default=3)
--- a/bench/logbench.py
+++ b/bench/logbench.py
@@ -2,7 +2,7 @@
 
     python -m bench.logbench [commit|failover|recovery|idle|sync ...]
 
-Prints JSON lines. Each part is bounded to about a minute.
+Prints a JSON line per result. Each part takes at most about a minute.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_PAYLOAD = 500
-_LOAD_S = 3.0
-_SYNCS = 1_000
-_IDLE_S = 5.0
-_ROUNDS = 8
+_PAYLOAD_BYTES = 500
+_LOAD_DURATION_S = 3.0
+_SYNC_COUNT = 1_000
+_IDLE_DURATION_S = 5.0
+_ROUND_COUNT = 8
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
-def _report(part: str, **figures: Any) -> None:
+def _print_result(part: str, **figures: Any) -> None:
     rounded = {
         name: round(value, 3) if isinstance(value, float) else value
         for name, value in figures.items()
@@ -56,17 +56,24 @@
 
 
 def _quantiles(seconds: list[float]) -> dict[str, float]:
-    cuts = statistics.quantiles(seconds, n=100)
-    return {"p50_ms": cuts[49] * 1000, "p99_ms": cuts[98] * 1000}
+    percentiles = statistics.quantiles(seconds, n=100)
+    return {"p50_ms": percentiles[49] * 1000, "p99_ms": percentiles[98] * 1000}
 
 
-class Child:
-    """A replica process, steered by lines."""
+class ReplicaProcess:
+    """A replica process that answers JSON requests, one per line."""
 
-    def __init__(self, folder: pathlib.Path, place: int, ports: str, n: int):
+    def __init__(
+        self, folder: pathlib.Path, replica_index: int, ports: str, n: int
+    ):
         command = [sys.executable, "-m", "bench.logbench", "child"]
-        command += [str(folder / str(place)), str(place), ports, str(n)]
-        self.popen = subprocess.Popen(
+        command += [
+            str(folder / str(replica_index)),
+            str(replica_index),
+            ports,
+            str(n),
+        ]
+        self.process = subprocess.Popen(
             command,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
@@ -74,116 +81,125 @@
             cwd=_ROOT,
         )
 
-    def ask(self, **request: Any) -> Any:
-        """Sends a line and returns the answer."""
-        assert self.popen.stdin is not None
-        assert self.popen.stdout is not None
-        print(json.dumps(request), file=self.popen.stdin, flush=True)
-        return json.loads(self.popen.stdout.readline())
+    def request(self, **request: Any) -> Any:
+        """Sends a request and returns the answer."""
+        assert self.process.stdin is not None
+        assert self.process.stdout is not None
+        print(json.dumps(request), file=self.process.stdin, flush=True)
+        return json.loads(self.process.stdout.readline())
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kills the process."""
-        self.popen.kill()
-        self.popen.wait()
+        self.process.kill()
+        self.process.wait()
 
 
-class Trio:
-    """Three replica processes."""
+class ReplicaCluster:
+    """Three replica processes with a common folder."""
 
     def __init__(self, groups: int = 1) -> None:
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="logbench-"))
         self.groups = groups
         self.ports = ",".join(map(str, ports.free_ports(3)))
-        self.children = [self.child(place) for place in range(3)]
+        self.replicas = [
+            self.start_replica(replica_index) for replica_index in range(3)
+        ]
 
-    def child(self, place: int) -> Child:
-        """Starts a replica, or starts it again."""
-        return Child(self.folder, place, self.ports, self.groups)
+    def start_replica(self, replica_index: int) -> ReplicaProcess:
+        """Starts or restarts the replica process with the given index."""
+        return ReplicaProcess(
+            self.folder, replica_index, self.ports, self.groups
+        )
 
-    def leader(self, but: Child | None = None) -> Child:
-        """Waits for a leader."""
+    def leader(self, excluded: ReplicaProcess | None = None) -> ReplicaProcess:
+        """Waits until a replica other than `excluded` leads, and returns it."""
         while True:
-            for child in self.children:
-                if child is not but and child.ask(do="leads"):
-                    return child
+            for replica in self.replicas:
+                if replica is not excluded and replica.request(do="leads"):
+                    return replica
             time.sleep(0.002)
 
-    def end(self) -> None:
-        """Kills all and removes what they wrote."""
-        for child in self.children:
-            child.end()
+    def kill(self) -> None:
+        """Kills all replicas and removes their files."""
+        for replica in self.replicas:
+            replica.kill()
         shutil.rmtree(self.folder)
 
 
 def commit() -> None:
-    """Commits a second and latency by how many wait at once."""
-    trio = Trio()
-    leader = trio.leader()
+    """Measures commits per second and latency by outstanding records."""
+    cluster = ReplicaCluster()
+    leader = cluster.leader()
     time.sleep(0.5)
     for outstanding in (1, 8, 64, 512):
-        disk = _bare_syncs(trio.folder, outstanding)
-        got = leader.ask(do="load", outstanding=outstanding)
-        _report("commit", outstanding=outstanding, **got, **disk)
-    trio.end()
+        disk = _measure_disk_syncs(cluster.folder, outstanding)
+        load_result = leader.request(do="load", outstanding=outstanding)
+        _print_result("commit", outstanding=outstanding, **load_result, **disk)
+    cluster.kill()
 
 
-def _bare_syncs(folder: pathlib.Path, records: int) -> dict[str, float]:
-    """Writes and syncs as many bytes as one batch has, over and over."""
-    data = os.urandom(_PAYLOAD * records)
+def _measure_disk_syncs(folder: pathlib.Path, records: int) -> dict[str, float]:
+    """Measures writes and syncs of `records` payloads, without the log."""
+    data = os.urandom(_PAYLOAD_BYTES * records)
     path = folder / "bare"
     fd = os.open(path, os.O_RDWR | os.O_CREAT)
-    took: list[float] = []
+    durations_s: list[float] = []
     offset = 0
-    until = time.perf_counter() + 1
-    while time.perf_counter() < until and len(took) < _SYNCS:
-        begun = time.perf_counter()
+    end_s = time.perf_counter() + 1
+    while time.perf_counter() < end_s and len(durations_s) < _SYNC_COUNT:
+        start_s = time.perf_counter()
         os.pwrite(fd, data, offset)
         os.fdatasync(fd)
-        took.append(time.perf_counter() - begun)
+        durations_s.append(time.perf_counter() - start_s)
         offset += len(data)
     os.close(fd)
     path.unlink()
-    figures = _quantiles(took)
+    figures = _quantiles(durations_s)
     return {f"disk_{name}": value for name, value in figures.items()}
 
 
 def failover() -> None:
-    """Time until another replica leads, after a kill and after silence."""
-    for number in (signal.SIGKILL, signal.SIGSTOP):
-        took: list[float] = []
-        trio = Trio()
-        for _ in range(_ROUNDS):
-            old = trio.leader()
+    """Measures the time until another replica leads.
+
+    The old leader is killed or suspended.
+    """
+    for signal_number in (signal.SIGKILL, signal.SIGSTOP):
+        durations_s: list[float] = []
+        cluster = ReplicaCluster()
+        for _ in range(_ROUND_COUNT):
+            old = cluster.leader()
             time.sleep(0.3)
-            begun = time.monotonic()
-            old.popen.send_signal(number)
-            trio.leader(but=old)
-            took.append(time.monotonic() - begun)
-            place = trio.children.index(old)
-            if number == signal.SIGKILL:
-                old.popen.wait()
-                trio.children[place] = trio.child(place)
+            start_s = time.monotonic()
+            old.process.send_signal(signal_number)
+            cluster.leader(excluded=old)
+            durations_s.append(time.monotonic() - start_s)
+            replica_index = cluster.replicas.index(old)
+            if signal_number == signal.SIGKILL:
+                old.process.wait()
+                cluster.replicas[replica_index] = cluster.start_replica(
+                    replica_index
+                )
             else:
-                old.popen.send_signal(signal.SIGCONT)
+                old.process.send_signal(signal.SIGCONT)
             time.sleep(1.5)
-        trio.end()
-        _report(
+        cluster.kill()
+        _print_result(
             "failover",
-            signal=number.name,
-            rounds=_ROUNDS,
-            median_s=statistics.median(took),
-            max_s=max(took),
+            signal=signal_number.name,
+            rounds=_ROUND_COUNT,
+            median_s=statistics.median(durations_s),
+            max_s=max(durations_s),
         )
 
 
 def recovery() -> None:
-    """Time to read a log of so many records at the start, and memory."""
+    """Measures time and memory to load logs of several sizes at the start."""
     for count in (10_000, 100_000, 400_000):
         folder = pathlib.Path(tempfile.mkdtemp(prefix="logbench-"))
         storage = Storage(folder)
         log = storage.group_log("g")
         log.save_state(1, "n", led=False)
-        payload = os.urandom(_PAYLOAD)
+        payload = os.urandom(_PAYLOAD_BYTES)
         for first in range(1, count + 1, 1000):
             log.append(
                 [
@@ -193,98 +209,104 @@
             )
             storage.sync()
         storage.close()
-        before = _resident()
-        begun = time.perf_counter()
+        before = _read_resident_bytes()
+        start_s = time.perf_counter()
         storage = Storage(folder)
-        opened = time.perf_counter()
+        opened_s = time.perf_counter()
         members = Members(members=[Member(node="n", address="a")])
         stored = storage.group_log("g").stored_state(members)
         core = Core("n", stored, random.Random(1), 0)
-        ready = time.perf_counter()
-        _report(
+        ready_s = time.perf_counter()
+        _print_result(
             "recovery",
             records=count,
-            open_s=opened - begun,
-            core_s=ready - opened,
-            bytes_a_record=(_resident() - before) / count,
+            open_s=opened_s - start_s,
+            core_s=ready_s - opened_s,
+            bytes_a_record=(_read_resident_bytes() - before) / count,
             last=core.state.log.last,
         )
         storage.close()
         shutil.rmtree(folder)
 
 
-def _resident() -> int:
+def _read_resident_bytes() -> int:
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
 def idle() -> None:
-    """Processor time and memory of replicas whose groups have no work."""
+    """Measures processor time and memory of replicas with idle groups."""
     for groups in (1, 10, 100):
-        trio = Trio(groups)
-        trio.leader()
+        cluster = ReplicaCluster(groups)
+        cluster.leader()
         time.sleep(3)
-        before = [child.ask(do="usage") for child in trio.children]
-        time.sleep(_IDLE_S)
-        after = [child.ask(do="usage") for child in trio.children]
+        before = [replica.request(do="usage") for replica in cluster.replicas]
+        time.sleep(_IDLE_DURATION_S)
+        after = [replica.request(do="usage") for replica in cluster.replicas]
         spent = [
-            100 * (new["cpu_s"] - old["cpu_s"]) / _IDLE_S
+            100 * (new["cpu_s"] - old["cpu_s"]) / _IDLE_DURATION_S
             for old, new in zip(before, after, strict=True)
         ]
-        _report(
+        _print_result(
             "idle",
             groups=groups,
             leads=[new["leads"] for new in after],
             cpu_percent=[round(value, 2) for value in spent],
             memory_mb=[round(new["memory_mb"], 1) for new in after],
         )
-        trio.end()
+        cluster.kill()
 
 
 def sync() -> None:
-    """A sync on the loop against one in a thread."""
-    uvloop.run(_sync())
+    """Compares syncs on the event loop with syncs in a thread."""
+    uvloop.run(_measure_syncs())
 
 
-async def _sync() -> None:
+async def _measure_syncs() -> None:
     loop = asyncio.get_running_loop()
     folder = pathlib.Path(tempfile.mkdtemp(prefix="logbench-"))
     fd = os.open(folder / "file", os.O_RDWR | os.O_CREAT)
-    data = os.urandom(_PAYLOAD * 8)
+    data = os.urandom(_PAYLOAD_BYTES * 8)
     for threaded in (False, True):
-        lags: list[float] = []
-        watch = asyncio.create_task(_watch_lag(lags))
-        took: list[float] = []
-        for turn in range(_SYNCS):
-            begun = time.perf_counter()
+        lags_s: list[float] = []
+        lag_task = asyncio.create_task(_measure_loop_lag(lags_s))
+        durations_s: list[float] = []
+        for turn in range(_SYNC_COUNT):
+            start_s = time.perf_counter()
             os.pwrite(fd, data, turn * len(data))
             if threaded:
                 await loop.run_in_executor(None, os.fdatasync, fd)
             else:
                 os.fdatasync(fd)
-            took.append(time.perf_counter() - begun)
+            durations_s.append(time.perf_counter() - start_s)
             await asyncio.sleep(0)
-        watch.cancel()
-        figures = _quantiles(took)
-        lag = statistics.quantiles(lags, n=100)[98] * 1000
-        _report("sync", threaded=threaded, **figures, loop_lag_p99_ms=lag)
+        lag_task.cancel()
+        figures = _quantiles(durations_s)
+        lag_ms = statistics.quantiles(lags_s, n=100)[98] * 1000
+        _print_result(
+            "sync", threaded=threaded, **figures, loop_lag_p99_ms=lag_ms
+        )
     os.close(fd)
     shutil.rmtree(folder)
 
 
-async def _watch_lag(lags: list[float]) -> None:
+async def _measure_loop_lag(lags_s: list[float]) -> None:
     while True:
-        begun = time.perf_counter()
+        start_s = time.perf_counter()
         await asyncio.sleep(0)
-        lags.append(time.perf_counter() - begun)
+        lags_s.append(time.perf_counter() - start_s)
 
 
-async def _child(folder: str, place: str, ports: str, groups: str) -> None:
-    """Runs one replica and answers lines from the parent."""
+async def _run_replica(
+    folder: str, replica_index: str, ports: str, groups: str
+) -> None:
+    """Runs one replica and answers requests from the parent process."""
     LogNode.snapshot_entries = 10_000_000
     numbers = [int(port) for port in ports.split(",")]
-    one = LogNode(pathlib.Path(folder), int(place), numbers, int(groups))
-    await one.start()
+    log_node = LogNode(
+        pathlib.Path(folder), int(replica_index), numbers, int(groups)
+    )
+    await log_node.start()
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(
@@ -294,45 +316,51 @@
         request = json.loads(line)
         match request["do"]:
             case "leads":
-                answer: Any = all(g.leader for g in one.groups) and (
-                    one.groups[0].is_leader()
+                answer: Any = all(g.leader for g in log_node.groups) and (
+                    log_node.groups[0].is_leader()
                 )
             case "usage":
-                answer = _usage(one)
+                answer = _read_usage(log_node)
             case _:
-                answer = await _load(one, request["outstanding"])
+                answer = await _measure_load(log_node, request["outstanding"])
         print(json.dumps(answer), flush=True)
 
 
-def _usage(one: LogNode) -> dict[str, float]:
+def _read_usage(log_node: LogNode) -> dict[str, float]:
     used = resource.getrusage(resource.RUSAGE_SELF)
     return {
         "cpu_s": used.ru_utime + used.ru_stime,
-        "memory_mb": _resident() / 1e6,
-        "leads": sum(group.is_leader() for group in one.groups),
+        "memory_mb": _read_resident_bytes() / 1e6,
+        "leads": sum(group.is_leader() for group in log_node.groups),
     }
 
 
-async def _load(one: LogNode, outstanding: int) -> dict[str, float]:
-    """Keeps so many records waiting for their commit."""
-    took: list[float] = []
+async def _measure_load(
+    log_node: LogNode, outstanding: int
+) -> dict[str, float]:
+    """Commits records, with `outstanding` of them uncommitted at any time."""
+    durations_s: list[float] = []
     numbers = itertools.count()
-    syncs = one.node.storage.sync_count
-    spent = _usage(one)["cpu_s"]
-    until = time.perf_counter() + _LOAD_S
-    run = os.urandom(8).hex()
-
-    async def work() -> None:
-        while time.perf_counter() < until:
-            payload = f"{run}-{next(numbers)}".encode().ljust(_PAYLOAD, b".")
-            took.append(await one.commit(payload))
+    syncs = log_node.node.storage.sync_count
+    start_cpu_s = _read_usage(log_node)["cpu_s"]
+    end_s = time.perf_counter() + _LOAD_DURATION_S
+    run_id = os.urandom(8).hex()
+
+    async def commit_records() -> None:
+        while time.perf_counter() < end_s:
+            payload = f"{run_id}-{next(numbers)}".encode().ljust(
+                _PAYLOAD_BYTES, b"."
+            )
+            durations_s.append(await log_node.commit(payload))
 
-    await asyncio.gather(*(work() for _ in range(outstanding)))
+    await asyncio.gather(*(commit_records() for _ in range(outstanding)))
     return {
-        "commits_a_s": len(took) / _LOAD_S,
-        "cpu_us": 1e6 * (_usage(one)["cpu_s"] - spent) / len(took),
-        "batch": len(took) / (one.node.storage.sync_count - syncs),
-        **_quantiles(took),
+        "commits_a_s": len(durations_s) / _LOAD_DURATION_S,
+        "cpu_us": 1e6
+        * (_read_usage(log_node)["cpu_s"] - start_cpu_s)
+        / len(durations_s),
+        "batch": len(durations_s) / (log_node.node.storage.sync_count - syncs),
+        **_quantiles(durations_s),
     }
 
 
@@ -348,7 +376,7 @@
 def main() -> None:
     """Runs the parts named on the command line, or all."""
     if sys.argv[1:2] == ["child"]:
-        uvloop.run(_child(*sys.argv[2:]))
+        uvloop.run(_run_replica(*sys.argv[2:]))
         return
     for name in sys.argv[1:] or _PARTS:
         _PARTS[name]()
--- a/bench/shardcost.py
+++ b/bench/shardcost.py
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass
 class ShardCost:
-    """Time that a leader and a follower use, and bytes written to the log."""
+    """Processor time in seconds, and bytes that are written to the log."""
 
     leader_s: float = 0.0
     follower_s: float = 0.0
