--- a/bench/engine.py
+++ b/bench/engine.py
@@ -50,14 +50,14 @@
         segments: the context; the last segment belongs to this turn.
         work: tokens to generate, or milliseconds of a service's work.
         on_done: callback; its argument tells whether the server answered.
-        prefill: tokens still to compute before decoding can start.
+        prefill_tokens: tokens still to compute before decoding can start.
         cached_tokens: context tokens found in the cache at the start.
     """
 
     segments: list[Segment]
     work: float
     on_done: Callable[[bool], None]
-    prefill: float = 0.0
+    prefill_tokens: float = 0.0
     cached_tokens: int = 0
 
 
@@ -104,7 +104,7 @@
         self._start_queued()
 
     def fail(self) -> None:
-        """Makes the server fail together with all its requests."""
+        """Marks the server as failed and fails all its requests."""
         self.failed = True
         unfinished = [*self._queue, *self._prefills]
         unfinished += [req for _, _, req in self._decodes]
@@ -115,15 +115,17 @@
     def _update_progress(self) -> None:
         elapsed_ms = self._events.now_ms - self._updated_ms
         self._updated_ms = self._events.now_ms
-        prefill, decode = self._time_shares()
+        prefill_share, decode_share = self._time_shares()
         if self._prefills:
-            head = self._prefills[0]
-            head.prefill -= (
-                elapsed_ms * prefill * self.spec.prefill_tokens_per_ms
+            current = self._prefills[0]
+            current.prefill_tokens -= (
+                elapsed_ms * prefill_share * self.spec.prefill_tokens_per_ms
             )
         if self._decodes:
             self._decoded_tokens += (
-                elapsed_ms * decode / self.spec.token_interval_ms(self.running)
+                elapsed_ms
+                * decode_share
+                / self.spec.token_interval_ms(self.running)
             )
 
     def _time_shares(self) -> tuple[float, float]:
@@ -140,36 +142,40 @@
             tokens = self.cache.admit(req.segments, round(req.work))
             if tokens is None:
                 break
-            req.prefill = tokens
-            context = sum(segment.tokens for segment in req.segments)
-            req.cached_tokens = context - tokens
+            req.prefill_tokens = tokens
+            context_tokens = sum(segment.tokens for segment in req.segments)
+            req.cached_tokens = context_tokens - tokens
             self._prefills.append(req)
             del self._queue[0]
         self._wakeup_number += 1
         wakeup_number = self._wakeup_number
-        if (delay := self._next_change_delay_ms()) is not None:
+        if (delay_ms := self._next_change_delay_ms()) is not None:
             self._events.schedule(
-                delay, lambda: self._handle_wakeup(wakeup_number)
+                delay_ms, lambda: self._handle_wakeup(wakeup_number)
             )
 
     def _next_change_delay_ms(self) -> float | None:
-        prefill, decode = self._time_shares()
-        delays = []
+        prefill_share, decode_share = self._time_shares()
+        delays_ms = []
         if self._prefills:
-            rate = prefill * self.spec.prefill_tokens_per_ms
-            delays.append(max(0.0, self._prefills[0].prefill / rate))
+            rate = prefill_share * self.spec.prefill_tokens_per_ms
+            delays_ms.append(max(0.0, self._prefills[0].prefill_tokens / rate))
         if self._decodes:
-            left = max(0.0, self._decodes[0][0] - self._decoded_tokens)
-            delays.append(
-                left * self.spec.token_interval_ms(self.running) / decode
+            remaining_tokens = max(
+                0.0, self._decodes[0][0] - self._decoded_tokens
             )
-        return min(delays, default=None)
+            delays_ms.append(
+                remaining_tokens
+                * self.spec.token_interval_ms(self.running)
+                / decode_share
+            )
+        return min(delays_ms, default=None)
 
     def _handle_wakeup(self, wakeup_number: int) -> None:
         if wakeup_number != self._wakeup_number or self.failed:
             return
         self._update_progress()
-        if self._prefills and self._prefills[0].prefill <= 1e-6:
+        if self._prefills and self._prefills[0].prefill_tokens <= 1e-6:
             req = self._prefills.pop(0)
             end = (self._decoded_tokens + req.work, next(self._sequence), req)
             heapq.heappush(self._decodes, end)
@@ -216,7 +222,7 @@
             self._queue.append(req)
 
     def fail(self) -> None:
-        """Makes the server fail together with all its requests."""
+        """Marks the server as failed and fails all its requests."""
         self.failed = True
         unfinished = self._running + self._queue
         self._running, self._queue = [], []
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -73,8 +73,8 @@
     for outcome in outcomes:
         for shape, values in outcome.by_shape.items():
             by_shape.setdefault(shape, []).extend(ms / 1_000 for ms in values)
-    wasted = sum(outcome.waste.wasted_tokens for outcome in outcomes)
-    filled = sum(outcome.waste.filled_tokens for outcome in outcomes)
+    wasted_tokens = sum(outcome.waste.wasted_tokens for outcome in outcomes)
+    filled_tokens = sum(outcome.waste.filled_tokens for outcome in outcomes)
     return Row(
         user,
         case,
@@ -89,8 +89,8 @@
         ),
         short_s=mean(by_shape.get("short", [])),
         long_s=mean(by_shape.get("long", [])),
-        waste_tokens=wasted,
-        waste_share=wasted / max(1, filled),
+        waste_tokens=wasted_tokens,
+        waste_share=wasted_tokens / max(1, filled_tokens),
         link_mb=sum(outcome.link_bytes for outcome in outcomes) / _BYTES_PER_MB,
         refused=sum(outcome.refused for outcome in outcomes),
         late=sum(outcome.late for outcome in outcomes),
--- a/bench/link.py
+++ b/bench/link.py
@@ -30,5 +30,5 @@
         self.sent_bytes += size_bytes
         start_ms = max(self._events.now_ms, self._idle_at_ms)
         self._idle_at_ms = start_ms + size_bytes / BANDWIDTH_BYTES_PER_MS
-        transmit_ms = self._idle_at_ms - self._events.now_ms
-        self._events.schedule(transmit_ms + self._delay_ms, on_delivered)
+        sent_after_ms = self._idle_at_ms - self._events.now_ms
+        self._events.schedule(sent_after_ms + self._delay_ms, on_delivered)
--- a/bench/world.py
+++ b/bench/world.py
@@ -172,8 +172,8 @@
 
     def end_attempt(self, key: messages.CallKey, usage: messages.Usage) -> None:
         """Reports the end of a call's attempt to the scheduler."""
-        now = round(self.events.now_ms)
-        self._handle_decisions(self.scheduler.end_call(key, now, usage))
+        now_ms = round(self.events.now_ms)
+        self._handle_decisions(self.scheduler.end_call(key, now_ms, usage))
 
     def send(
         self,
@@ -203,9 +203,9 @@
             self._decision_callbacks.pop(decision.key)(decision)
 
     def _run_tick(self) -> None:
-        now = round(self.events.now_ms)
-        self._view.forget_silent(now)
-        self._handle_decisions(self.scheduler.tick(now))
+        now_ms = round(self.events.now_ms)
+        self._view.forget_silent(now_ms)
+        self._handle_decisions(self.scheduler.tick(now_ms))
         self.events.schedule(_TICK_INTERVAL_MS, self._run_tick)
 
     def _start_program(self) -> None:
@@ -284,7 +284,7 @@
         )
 
     def is_allowed(self, report: messages.ServerReport) -> bool:
-        """Returns whether a server may get new calls: it isn't drained."""
+        """Returns whether a server isn't drained and so may get new calls."""
         return report.server not in self._drained_servers
 
     def domain_of(self, server: str) -> Domain:
@@ -380,14 +380,18 @@
         """Returns the job that the leader's scheduler gets for a call."""
         step = call.step
         is_model_call = step.target == self._world.plan.workload.model
-        history = sum(segment.tokens for segment in self._context)
-        shared = history - sum(segment.tokens for segment in self.own_segments)
+        history_tokens = sum(segment.tokens for segment in self._context)
+        shared_tokens = history_tokens - sum(
+            segment.tokens for segment in self.own_segments
+        )
         return jobs.Job(
             key=call.key,
             kind="model" if is_model_call else "service",
             target=step.target,
-            prompt_tokens=history + step.new_tokens if is_model_call else 0,
-            history_tokens=history if is_model_call else 0,
+            prompt_tokens=history_tokens + step.new_tokens
+            if is_model_call
+            else 0,
+            history_tokens=history_tokens if is_model_call else 0,
             max_tokens=_MAX_TOKENS if is_model_call else 0,
             turns=self._turns,
             attained_tokens=self._attained_tokens,
@@ -397,7 +401,7 @@
             excluded_servers=failed_servers,
             interactive=self.script.interactive,
             parent=self.parent.script.program if self.parent else "",
-            shared_tokens=shared,
+            shared_tokens=shared_tokens,
             is_allowed=self._world.is_allowed,
         )
 
