--- a/bench/deciding/__main__.py
+++ b/bench/deciding/__main__.py
@@ -120,7 +120,7 @@
         for variant in chosen:
             began_s = time.monotonic()
             make = policies.VARIANTS[variant]
-            result = world.World(found, make, seed).run()
+            result = world.Simulation(found, make, seed).run()
             rows.append(
                 {
                     "scenario": found.name,
--- a/bench/deciding/caller.py
+++ b/bench/deciding/caller.py
@@ -1,4 +1,4 @@
-"""Callers: programs of turns, tools and sub-agents, with their retries."""
+"""Simulates callers, whose programs run turns, tools and sub-agents."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import simpy
 
-from bench.deciding.gateway import End, Turn
+from bench.deciding.gateway import Outcome, Turn
 from bench.deciding.site import Site
 from catkinpin.core.requests.calls import PromptPart
 
@@ -18,24 +18,24 @@
     from bench.deciding.draws import LineScript, ProgramScript, ToolCall
     from bench.deciding.gateway import Gateway, Steps
 
-    Whether = Generator[simpy.Event, Any, bool]
+    SuccessSteps = Generator[simpy.Event, Any, bool]
 
-# Tries of one request, and how often a failed turn is sent once more.
-_TRIES = 2
-_TURN_SENDS = 3
-_RETRY_MS = (100, 400)
-_REFUSED_MS = 150
-# A gateway that is gone is noticed after so long.
-_NO_GATEWAY_MS = 1_000
+# Attempts in one round of a request, and rounds of one turn.
+_ATTEMPTS_PER_ROUND = 2
+_TURN_ROUNDS = 3
+_ROUND_BACKOFF_MS = (100, 400)
+_REFUSED_BACKOFF_MS = 150
+# Time until a caller notices that a gateway is down.
+_GATEWAY_DOWN_TIMEOUT_MS = 1_000
 _TURN_DEADLINE_MS = 6_000
 
 
 @dataclasses.dataclass(frozen=True)
-class Ended:
+class EndedProgram:
     """A program that has ended.
 
     Attributes:
-        took_ms: from its begin; None where it failed.
+        took_ms: Time from its start; None if it failed.
     """
 
     script: ProgramScript
@@ -43,7 +43,11 @@
 
     @property
     def earned(self) -> float:
-        """Returns its payoff: whole in time, less within twice the time."""
+        """Returns the payoff.
+
+        It is full within the time limit, reduced within twice the limit, and
+        0 after that.
+        """
         if self.took_ms is None or self.took_ms > 2 * self.script.aim_ms:
             return 0.0
         if self.took_ms <= self.script.aim_ms:
@@ -53,69 +57,76 @@
 
 
 class CallerSite(Site, Protocol):
-    """A site as its callers see it.
+    """Interface of a simulated deployment for its callers.
 
     Attributes:
-        ended: programs that have ended.
+        ended: Programs that have ended.
     """
 
-    ended: list[Ended]
+    ended: list[EndedProgram]
 
     def gateway(self, draw: float) -> Gateway:
-        """Returns the gateway for a draw in [0, 1)."""
+        """Returns the gateway that a draw in [0, 1) selects."""
 
 
 class Caller:
     """Runs one program."""
 
-    def __init__(self, world: CallerSite, script: ProgramScript) -> None:
-        self._world = world
-        self._env = world.env
+    def __init__(self, site: CallerSite, script: ProgramScript) -> None:
+        self._site = site
+        self._env = site.env
         self._script = script
         self._rng = random.Random(script.seed)
         self._attempts = 0
 
     def run(self) -> Generator[simpy.Event, Any, None]:
-        """Begins when the script says, and tells the world how it ended."""
+        """Starts the program at its time and records how it ended."""
         yield self._env.timeout(self._script.at_ms)
-        whole = yield from self._line(self._script.line, (self._script.shared,))
-        took_ms = self._env.now - self._script.at_ms if whole else None
-        self._world.ended.append(Ended(self._script, took_ms))
+        succeeded = yield from self._run_agent(
+            self._script.line, (self._script.shared,)
+        )
+        took_ms = self._env.now - self._script.at_ms if succeeded else None
+        self._site.ended.append(EndedProgram(self._script, took_ms))
 
-    def _line(
+    def _run_agent(
         self, line: LineScript, prompt: tuple[PromptPart, ...]
-    ) -> Whether:
+    ) -> SuccessSteps:
         for number, turn in enumerate(line.turns):
             part = PromptPart(f"{line.name}/{number}", turn.new_tokens)
             draw = (
                 self._script.gateway if turn.gateway is None else turn.gateway
             )
-            asked = (*prompt, part)
-            done = yield from self._turn(line, asked, turn.out_tokens, draw)
-            if not done:
+            turn_prompt = (*prompt, part)
+            succeeded = yield from self._run_turn(
+                line, turn_prompt, turn.out_tokens, draw
+            )
+            if not succeeded:
                 return False
-            grown = PromptPart(part.id, turn.new_tokens + turn.out_tokens)
-            prompt = (*prompt, grown)
-            after = [self._env.process(self._call(one)) for one in turn.tools]
-            after += [
-                self._env.process(self._line(helper, prompt))
+            grown_part = PromptPart(part.id, turn.new_tokens + turn.out_tokens)
+            prompt = (*prompt, grown_part)
+            follow_ups = [
+                self._env.process(self._run_tool_call(one))
+                for one in turn.tools
+            ]
+            follow_ups += [
+                self._env.process(self._run_agent(helper, prompt))
                 for helper in turn.helpers
             ]
             yield self._env.timeout(turn.pause_ms)
-            for process in after:
+            for process in follow_ups:
                 if not (yield process):
                     return False
         return True
 
-    def _turn(
+    def _run_turn(
         self,
         line: LineScript,
         prompt: tuple[PromptPart, ...],
         tokens: int,
         draw: float,
-    ) -> Whether:
-        for _ in range(_TURN_SENDS):
-            for _ in range(_TRIES):
+    ) -> SuccessSteps:
+        for _ in range(_TURN_ROUNDS):
+            for _ in range(_ATTEMPTS_PER_ROUND):
                 self._attempts += 1
                 turn = Turn(
                     attempt=f"{self._script.name}-{self._attempts}",
@@ -127,55 +138,57 @@
                     + self._script.aim_ms
                     - self._env.now,
                 )
-                gateway = self._world.gateway(draw)
-                end = yield from self._ask(
+                gateway = self._site.gateway(draw)
+                outcome = yield from self._send(
                     gateway, gateway.serve_turn(turn), _TURN_DEADLINE_MS
                 )
-                if end is End.SERVED:
+                if outcome is Outcome.SERVED:
                     return True
                 draw = self._rng.random()
-                if end is End.REFUSED:
-                    yield self._env.timeout(_REFUSED_MS)
-            yield self._env.timeout(self._rng.uniform(*_RETRY_MS))
+                if outcome is Outcome.REFUSED:
+                    yield self._env.timeout(_REFUSED_BACKOFF_MS)
+            yield self._env.timeout(self._rng.uniform(*_ROUND_BACKOFF_MS))
         return False
 
-    def _call(self, call: ToolCall) -> Whether:
+    def _run_tool_call(self, call: ToolCall) -> SuccessSteps:
         draw = self._script.gateway
-        for _ in range(_TRIES):
-            gateway = self._world.gateway(draw)
-            end = yield from self._ask(
+        for _ in range(_ATTEMPTS_PER_ROUND):
+            gateway = self._site.gateway(draw)
+            outcome = yield from self._send(
                 gateway, gateway.serve_call(call), call.tool.deadline_ms
             )
-            if end is End.SERVED:
+            if outcome is Outcome.SERVED:
                 return True
-            if end is End.BROKEN and not call.tool.repeatable:
+            if outcome is Outcome.BROKEN and not call.tool.repeatable:
                 return False
             draw = self._rng.random()
-            yield self._env.timeout(_REFUSED_MS)
+            yield self._env.timeout(_REFUSED_BACKOFF_MS)
         return False
 
-    def _ask(self, gateway: Gateway, steps: Steps, deadline_ms: float) -> Steps:
-        """Has a gateway serve a request, for as long as its caller waits."""
-        delay_ms = self._world.scenario.links.caller_ms
+    def _send(
+        self, gateway: Gateway, steps: Steps, deadline_ms: float
+    ) -> Steps:
+        """Sends a request to a gateway and waits until the deadline."""
+        delay_ms = self._site.scenario.links.caller_ms
         yield self._env.timeout(delay_ms)
         if not gateway.is_up:
             steps.close()
-            yield self._env.timeout(_NO_GATEWAY_MS)
-            return End.REFUSED
-        serving = self._env.process(_guarded(steps))
-        gateway.under_way.add(serving)
+            yield self._env.timeout(_GATEWAY_DOWN_TIMEOUT_MS)
+            return Outcome.REFUSED
+        serving = self._env.process(_catch_interrupt(steps))
+        gateway.active_requests.add(serving)
         yield serving | self._env.timeout(deadline_ms)
-        gateway.under_way.discard(serving)
+        gateway.active_requests.discard(serving)
         if serving.is_alive:
             serving.interrupt()
-            return End.BROKEN
+            return Outcome.BROKEN
         yield self._env.timeout(delay_ms)
-        return cast("End", serving.value)
+        return cast("Outcome", serving.value)
 
 
-def _guarded(steps: Steps) -> Steps:
-    """Ends a request whose caller has left, or whose gateway has died."""
+def _catch_interrupt(steps: Steps) -> Steps:
+    """Ends a request when its caller gives up or its gateway crashes."""
     try:
         return (yield from steps)
     except simpy.Interrupt:
-        return End.BROKEN
+        return Outcome.BROKEN
--- a/bench/deciding/gateway.py
+++ b/bench/deciding/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway: the product's decisions, and the exchange with the servers."""
+"""Simulates a gateway, which decides with the product's own code."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     from catkinpin.core.control.servers import Instance
     from catkinpin.core.placement.balance import Choice
 
-    Steps = Generator[simpy.Event, Any, "End"]
+    Steps = Generator[simpy.Event, Any, "Outcome"]
 
-# Servers that may refuse a request one after the other before a gateway does.
+# Refusals by servers after which a gateway tries yet another server.
 _MAX_REFUSALS = 3
-# A server that can't be reached is given up after so long.
-_CONNECT_MS = 300
+# Timeout for connecting to a server.
+_CONNECT_TIMEOUT_MS = 300
 _RETAIN_MS = 60_000
-_BUDGET = 1_000_000
+_TOKEN_BUDGET = 1_000_000
 
 
-class End(enum.Enum):
-    """What became of a request at a gateway."""
+class Outcome(enum.Enum):
+    """Outcome of a request at a gateway."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -47,7 +47,9 @@
     """A turn as its caller sends it.
 
     Attributes:
-        tokens: that it will make; nobody knows it ahead.
+        tokens: Output tokens that the turn will generate; policies don't
+            know them in advance.
+        left_ms: Time that remains until the program's time limit.
     """
 
     attempt: str
@@ -62,28 +64,28 @@
     """One gateway.
 
     Attributes:
-        is_up: whether callers reach it.
-        under_way: its requests, which end with it.
+        is_up: Whether callers can reach it.
+        active_requests: Processes of its requests; they end when it crashes.
     """
 
-    def __init__(self, world: Site, domain: str, policy: Policy) -> None:
+    def __init__(self, site: Site, domain: str, policy: Policy) -> None:
         self.domain = domain
         self.policy = policy
         self.is_up = True
-        self.under_way: set[simpy.Process] = set()
-        self._world = world
-        self._env = world.env
+        self.active_requests: set[simpy.Process] = set()
+        self._site = site
+        self._env = site.env
 
     def serve_turn(self, turn: Turn) -> Steps:
-        """Serves a turn: begun in the ledger, run, settled there."""
-        ledger = self._world.ledger
-        yield self._env.timeout(self._world.scenario.links.record_ms)
-        began = ledger.begin(
+        """Begins a turn in the ledger, runs it and finishes it there."""
+        ledger = self._site.ledger
+        yield self._env.timeout(self._site.scenario.links.record_ms)
+        begun = ledger.begin(
             Begin(
                 attempt=turn.attempt,
                 program=turn.program,
                 previous="",
-                budget=_BUDGET,
+                budget=_TOKEN_BUDGET,
                 max_tokens=2 * turn.tokens,
                 retain_ms=_RETAIN_MS,
                 at_ms=self._now_ms,
@@ -97,21 +99,23 @@
             prompt=turn.prompt,
             max_tokens=2 * turn.tokens,
         )
-        rank = self.policy.rank(began.program_status)
-        known = self._world.fleet.get(began.server)
-        if known is not None:
-            self.policy.balancer.record_prompt(known, turn.prompt[:-1])
+        rank = self.policy.rank(begun.program_status)
+        previous_server = self._site.fleet.get(begun.server)
+        if previous_server is not None:
+            self.policy.balancer.record_prompt(
+                previous_server, turn.prompt[:-1]
+            )
         began_ms = self._env.now
-        end, server = yield from self._run_turn(call, turn, rank)
+        outcome, server = yield from self._run_turn(call, turn, rank)
         took_ms = round(self._env.now - began_ms)
-        tokens = turn.tokens if end is End.SERVED else 0
+        tokens = turn.tokens if outcome is Outcome.SERVED else 0
         speed = self.policy.speeds.engine_speed("models")
         ledger.finish(
             Finish(
                 attempt=turn.attempt,
                 program=turn.program,
                 tokens=tokens,
-                is_whole=end is End.SERVED,
+                is_whole=outcome is Outcome.SERVED,
                 holders=["h"],
                 size=0,
                 at_ms=self._now_ms,
@@ -119,22 +123,22 @@
                 lost_ms=urgency.lost_ms(call, tokens, took_ms, speed),
             )
         )
-        if end is End.SERVED:
-            yield self._env.timeout(self._world.scenario.links.record_ms)
-        return end
+        if outcome is Outcome.SERVED:
+            yield self._env.timeout(self._site.scenario.links.record_ms)
+        return outcome
 
     def serve_call(self, call: ToolCall) -> Steps:
-        """Serves a call of a plain service."""
+        """Serves a call to a plain service."""
         route = call.tool.name
         sent_to: list[str] = []
         while len(sent_to) <= _MAX_REFUSALS:
-            choice = self._pick("plain", RouteCall("x"), sent_to, route)
+            choice = self._pick_server("plain", RouteCall("x"), sent_to, route)
             if choice is None:
-                return End.REFUSED
+                return Outcome.REFUSED
             instance = choice.instance
             sent_to.append(instance.id)
-            service = self._world.services[instance.id]
-            yield self._way(instance)
+            service = self._site.services[instance.id]
+            yield self._network_delay(instance)
             self.policy.balancer.record_sent(instance, RouteCall("x"))
             sent_ms = self._env.now
             running = service.submit(call.work_ms)
@@ -142,19 +146,19 @@
                 self.policy.balancer.record_ended(instance)
                 self._report_load(instance, service)
                 continue
-            end = yield from self._await_call(service, instance, running)
-            if end is End.SERVED:
+            outcome = yield from self._await_call(service, instance, running)
+            if outcome is Outcome.SERVED:
                 took_ms = self._env.now - sent_ms
                 self.policy.speeds.record_plain_call(route, took_ms)
-            return end
-        return End.REFUSED
+            return outcome
+        return Outcome.REFUSED
 
     def _run_turn(
         self, call: RouteCall, turn: Turn, rank: int
-    ) -> Generator[simpy.Event, Any, tuple[End, str]]:
+    ) -> Generator[simpy.Event, Any, tuple[Outcome, str]]:
         sent_to: list[str] = []
         while len(sent_to) <= _MAX_REFUSALS:
-            choice = self._pick("models", call, sent_to)
+            choice = self._pick_server("models", call, sent_to)
             if choice is None:
                 break
             instance = choice.instance
@@ -164,22 +168,24 @@
             ):
                 break
             sent_to.append(instance.id)
-            engine = self._world.engines[instance.id]
-            self._world.passed(self.domain, instance.domain, turn.prompt)
-            yield self._way(instance)
+            engine = self._site.engines[instance.id]
+            self._site.count_prompt(self.domain, instance.domain, turn.prompt)
+            yield self._network_delay(instance)
             if not engine.is_up:
-                yield self._env.timeout(_CONNECT_MS)
+                yield self._env.timeout(_CONNECT_TIMEOUT_MS)
                 balancer.record_failure(instance, self._now_ms, immediate=True)
                 continue
-            end = yield from self._exchange(engine, choice, call, turn, rank)
-            if end is End.SERVED:
-                return end, instance.id
-            # A server that has died doesn't count as one that was asked.
+            outcome = yield from self._stream_turn(
+                engine, choice, call, turn, rank
+            )
+            if outcome is Outcome.SERVED:
+                return outcome, instance.id
+            # Only a crash of the server allows another attempt at this gateway.
             if engine.is_up:
-                return end, ""
-        return End.REFUSED, ""
+                return outcome, ""
+        return Outcome.REFUSED, ""
 
-    def _exchange(
+    def _stream_turn(
         self,
         engine: Engine,
         choice: Choice,
@@ -193,27 +199,29 @@
         yield self._env.timeout(engine.shape.first_ms)
         job = engine.submit(turn.prompt, turn.tokens, rank)
         try:
-            yield job.first | job.done
-            if job.first.triggered:
-                yield self._way(instance)
+            yield job.first_token | job.done
+            if job.first_token.triggered:
+                yield self._network_delay(instance)
                 load = engine.load()
                 self.policy.balancer.report_load(instance, load, self._now_ms)
                 first_ms = self._env.now - sent_ms
                 yield job.done
-                yield self._way(instance)
+                yield self._network_delay(instance)
             if not job.done.value:
                 self.policy.balancer.record_failure(
                     instance, self._now_ms, immediate=False
                 )
-                return End.BROKEN
+                return Outcome.BROKEN
             self.policy.balancer.record_success(instance)
-            self._learn(choice, call, job, first_ms, load.running, load.waiting)
-            return End.SERVED
+            self._record_timings(
+                choice, call, job, first_ms, load.running, load.waiting
+            )
+            return Outcome.SERVED
         finally:
             engine.cancel(job)
             self.policy.balancer.record_ended(instance)
 
-    def _learn(
+    def _record_timings(
         self,
         choice: Choice,
         call: RouteCall,
@@ -222,12 +230,12 @@
         running: int,
         waiting: int,
     ) -> None:
-        wanted = sum(part.tokens for part in call.prompt)
-        new = call.prompt[-1].tokens
+        prompt_tokens = sum(part.tokens for part in call.prompt)
+        new_tokens = call.prompt[-1].tokens
         instance = choice.instance
         sample = StreamTimings(
-            prefilled_tokens=new
-            if choice.cached_tokens == wanted - new
+            prefilled_tokens=new_tokens
+            if choice.cached_tokens == prompt_tokens - new_tokens
             else None,
             first_ms=first_ms,
             gaps_ms=job.gaps_ms,
@@ -243,10 +251,10 @@
     ) -> Steps:
         try:
             yield running.done
-            yield self._way(instance)
+            yield self._network_delay(instance)
             self._report_load(instance, service)
             self.policy.balancer.record_success(instance)
-            return End.SERVED if running.done.value else End.BROKEN
+            return Outcome.SERVED if running.done.value else Outcome.BROKEN
         finally:
             service.cancel(running)
             self.policy.balancer.record_ended(instance)
@@ -254,7 +262,7 @@
     def _report_load(self, instance: Instance, service: Service) -> None:
         self.policy.balancer.report_load(instance, service.load(), self._now_ms)
 
-    def _pick(
+    def _pick_server(
         self,
         service: str,
         call: RouteCall,
@@ -262,15 +270,15 @@
         route: str = "",
     ) -> Choice | None:
         servers = [
-            one for one in self._world.fleet.values() if one.service == service
+            one for one in self._site.fleet.values() if one.service == service
         ]
         return self.policy.balancer.pick(
             servers, call, self._now_ms, sent_to, route
         )
 
-    def _way(self, instance: Instance) -> simpy.Event:
+    def _network_delay(self, instance: Instance) -> simpy.Event:
         return self._env.timeout(
-            self._world.delay_ms(self.domain, instance.domain)
+            self._site.delay_ms(self.domain, instance.domain)
         )
 
     @property
--- a/bench/deciding/policies.py
+++ b/bench/deciding/policies.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Truth:
+class GroundTruth:
     """What really is, for variants that may know it.
 
     Attributes:
@@ -46,13 +46,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class GatewayContext:
     """Where a gateway stands."""
 
     domain: str
     regions: dict[str, str]
     rng: random.Random
-    truth: Truth
+    truth: GroundTruth
 
 
 @dataclasses.dataclass(frozen=True)
@@ -72,10 +72,10 @@
     kind: type[Balancer] = Balancer,
     make_speeds: Callable[[], Speeds] = Speeds,
     rank: Callable[[ProgramStatus], int] = urgency.turn_urgency,
-) -> Callable[[Place], Policy]:
+) -> Callable[[GatewayContext], Policy]:
     """Returns a variant that needs no more than a gateway knows."""
 
-    def make(place: Place) -> Policy:
+    def make(place: GatewayContext) -> Policy:
         speeds = make_speeds()
         balancer = kind(place.domain, place.regions, place.rng, speeds)
         return Policy(balancer, speeds, rank)
@@ -158,7 +158,7 @@
 class _Oracle(Balancer):
     """Knows each server's true load, cache and speed at each moment."""
 
-    truth: Truth
+    truth: GroundTruth
 
     def _running_estimate(
         self, server: balance.TrackedServer, now_ms: int
@@ -173,7 +173,7 @@
         self, server: balance.TrackedServer, prompt: tuple[PromptPart, ...]
     ) -> int:
         engine = self.truth.engines.get(server.id)
-        return engine.cache.held(prompt) if engine is not None else 0
+        return engine.cache.cached_tokens(prompt) if engine is not None else 0
 
     def _is_ejected(self, instance: Instance, now_ms: int) -> bool:
         engine = self.truth.engines.get(instance.id)
@@ -183,7 +183,7 @@
 class _TrueSpeeds(FixedSpeeds):
     """The true speeds of all servers."""
 
-    def __init__(self, truth: Truth) -> None:
+    def __init__(self, truth: GroundTruth) -> None:
         shape = next(iter(truth.engines.values())).shape
         super().__init__(
             EngineSpeed(
@@ -200,14 +200,14 @@
         return Speeds.plain_ms(self, route)
 
 
-def _oracle(place: Place) -> Policy:
+def _oracle(place: GatewayContext) -> Policy:
     speeds = _TrueSpeeds(place.truth)
     balancer = _Oracle(place.domain, place.regions, place.rng, speeds)
     balancer.truth = place.truth
     return Policy(balancer, speeds)
 
 
-def _true_speeds(place: Place) -> Policy:
+def _true_speeds(place: GatewayContext) -> Policy:
     speeds = _TrueSpeeds(place.truth)
     return Policy(
         Balancer(place.domain, place.regions, place.rng, speeds), speeds
@@ -340,11 +340,11 @@
             self.placer.finish(attempt, TurnReport(), 0)
 
 
-def _leader_placement() -> Callable[[Place], Policy]:
+def _leader_placement() -> Callable[[GatewayContext], Policy]:
     """Returns a variant in which one placer serves all gateways of a play."""
     placers: dict[int, Placer] = {}
 
-    def make(place: Place) -> Policy:
+    def make(place: GatewayContext) -> Policy:
         key = id(place.truth)
         if key not in placers:
             placers.clear()
@@ -379,7 +379,7 @@
 ORACLE = "oracle"
 BASELINES = ("round robin", "least outstanding", "sticky")
 
-VARIANTS: dict[str, Callable[[Place], Policy]] = {
+VARIANTS: dict[str, Callable[[GatewayContext], Policy]] = {
     POLICY: _plain(),
     "fixed speeds": _plain(make_speeds=lambda: FixedSpeeds(_FIRST_USERS)),
     "true speeds": _true_speeds,
--- a/bench/deciding/service.py
+++ b/bench/deciding/service.py
@@ -1,4 +1,4 @@
-"""A plain server: slots, a short queue, slower when nearly full."""
+"""Simulates a plain server, which gets slower when it is nearly full."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
     """A request at a plain server.
 
     Attributes:
-        done: succeeds with whether it ran to its end.
+        work_ms: Processing time on a server that isn't nearly full.
+        done: Triggers when the request ends; its value says whether it
+            completed.
     """
 
     work_ms: float
@@ -36,11 +38,11 @@
         self._queue: list[Call] = []
 
     def load(self) -> Load:
-        """Returns what it tells of its load."""
+        """Returns the load that the server reports."""
         return Load(len(self._running), len(self._queue), self.shape.slots)
 
     def submit(self, work_ms: float) -> Call | None:
-        """Takes a request, None where it is full."""
+        """Starts or queues a request; returns None if the queue is full."""
         if len(self._queue) >= self.shape.queue:
             return None
         call = Call(work_ms, self._env.event())
@@ -51,25 +53,25 @@
         return call
 
     def cancel(self, call: Call) -> None:
-        """Drops a request that nobody waits for any more."""
+        """Removes a request that its caller has abandoned."""
         if call in self._queue:
             self._queue.remove(call)
         elif call in self._running:
-            self._end(call, whole=False)
+            self._end(call, completed=False)
 
     def _start(self, call: Call) -> None:
         self._running.append(call)
-        part = len(self._running) / self.shape.slots
-        over = max(0.0, part - self.shape.full_part)
-        over /= max(1 - self.shape.full_part, 1e-9)
-        times = 1 + (self.shape.full_times - 1) * over
-        timer = self._env.timeout(call.work_ms * times)
-        timer.callbacks.append(lambda _: self._end(call, whole=True))
-
-    def _end(self, call: Call, *, whole: bool) -> None:
+        used_share = len(self._running) / self.shape.slots
+        excess_share = max(0.0, used_share - self.shape.full_part)
+        excess_share /= max(1 - self.shape.full_part, 1e-9)
+        slowdown = 1 + (self.shape.full_times - 1) * excess_share
+        timer = self._env.timeout(call.work_ms * slowdown)
+        timer.callbacks.append(lambda _: self._end(call, completed=True))
+
+    def _end(self, call: Call, *, completed: bool) -> None:
         if call not in self._running:
             return
         self._running.remove(call)
-        call.done.succeed(whole)
+        call.done.succeed(completed)
         if self._queue:
             self._start(self._queue.pop(0))
--- a/bench/deciding/site.py
+++ b/bench/deciding/site.py
@@ -1,4 +1,4 @@
-"""What gateways and callers see of the deployment that is played."""
+"""Interface of a simulated deployment for its gateways and callers."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class Site(Protocol):
-    """A deployment.
+    """A simulated deployment.
 
     Attributes:
-        env: simulated time, in ms.
-        scenario: what is played.
-        ledger: of the control group.
-        fleet: the servers that gateways know, by id.
-        engines: model servers, by id.
-        services: plain servers, by id.
+        env: Simulation environment, whose time is in ms.
+        scenario: Scenario that runs.
+        ledger: The control group's ledger.
+        fleet: Servers that the gateways know, by id.
+        engines: Model servers, by id.
+        services: Plain servers, by id.
     """
 
     env: simpy.Environment
@@ -34,10 +34,10 @@
     engines: dict[str, Engine]
     services: dict[str, Service]
 
-    def passed(
+    def count_prompt(
         self, here: str, there: str, prompt: tuple[PromptPart, ...]
     ) -> None:
-        """Counts a prompt that goes from a gateway to a server."""
+        """Counts the tokens of a prompt sent from a gateway to a server."""
 
     def delay_ms(self, here: str, there: str) -> float:
-        """Returns the delay between two failure domains, one way."""
+        """Returns the one-way delay between two failure domains."""
--- a/tests/test_deciding.py
+++ b/tests/test_deciding.py
@@ -97,11 +97,13 @@
     def test_lost_engine_answers_nobody_and_is_back_empty(self) -> None:
         job = self.engine.submit(self._prompt(1_000), 50, 5)
         self.env.run(until=100)
-        self.engine.lose()
+        self.engine.crash()
         self.env.run(until=job.done)
         self.assertFalse(job.done.value)
-        self.engine.back()
-        self.assertEqual(0, self.engine.cache.held(self._prompt(1_000)))
+        self.engine.restart()
+        self.assertEqual(
+            0, self.engine.cache.cached_tokens(self._prompt(1_000))
+        )
 
     def test_memory_is_never_exceeded(self) -> None:
         """More prompts come than fit; the oldest unused ones yield."""
@@ -112,7 +114,7 @@
             self.assertLessEqual(cache.used, 3_000)
             cache.release(prompt, 100)
             self.assertLessEqual(cache.used, 3_000)
-        self.assertEqual(500, cache.held((PromptPart("all", 500),)))
+        self.assertEqual(500, cache.cached_tokens((PromptPart("all", 500),)))
         self.assertFalse(cache.admit((PromptPart("huge", 4_000),), 1))
 
 
@@ -135,7 +137,7 @@
 
     def test_same_seed_plays_the_same(self) -> None:
         make = policies.VARIANTS[policies.POLICY]
-        found = [world.World(_scenario(), make, 3).run() for _ in range(2)]
+        found = [world.Simulation(_scenario(), make, 3).run() for _ in range(2)]
         self.assertEqual(found[0], found[1])
 
     def test_all_variants_get_the_same_programs(self) -> None:
@@ -145,7 +147,7 @@
 
     def test_light_load_is_served_in_time(self) -> None:
         make = policies.VARIANTS[policies.POLICY]
-        result = world.World(_scenario(0.3), make, 3).run()
+        result = world.Simulation(_scenario(0.3), make, 3).run()
         self.assertGreater(result.payoff, 0.98)
         self.assertEqual(0, result.failed)
 
@@ -153,8 +155,8 @@
         """Turns go to one engine after the other, and are read anew."""
         policy = policies.VARIANTS[policies.POLICY]
         scattered = policies.VARIANTS["round robin"]
-        ours = world.World(_scenario(0.9), policy, 3).run()
-        theirs = world.World(_scenario(0.9), scattered, 3).run()
+        ours = world.Simulation(_scenario(0.9), policy, 3).run()
+        theirs = world.Simulation(_scenario(0.9), scattered, 3).run()
         self.assertGreater(theirs.read, 1.3 * ours.read)
         self.assertGreater(ours.payoff, theirs.payoff)
 
