--- a/bench/deciding/__init__.py
+++ b/bench/deciding/__init__.py
@@ -1,5 +1,5 @@
-"""Paired experiments with what gateways decide, in a model of what they serve.
+"""Compares placement policies of gateways in a discrete-event simulation.
 
-The decisions are the product's own code; engines, services, callers and faults
-are modelled as discrete events.
+The gateways decide with the product's own code. Engines, services, callers and
+faults are simulated.
 """
--- a/bench/deciding/__main__.py
+++ b/bench/deciding/__main__.py
@@ -1,4 +1,4 @@
-"""Plays scenarios under several variants, and compares them pair by pair."""
+"""Runs scenarios under several variants and compares paired payoffs."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 app = cyclopts.App(name="deciding", help=__doc__)
 
-_FOLDER = pathlib.Path(__file__).parent / "scenarios"
-_OUT = pathlib.Path("out/deciding")
-# Seeds from here on are for reports only; policies are changed on the others.
+_SCENARIO_FOLDER = pathlib.Path(__file__).parent / "scenarios"
+_OUT_FOLDER = pathlib.Path("out/deciding")
+# Seeds from here on are only for reports; policies are developed on the
+# smaller ones.
 REPORT_SEEDS = 1_000
 _COLUMNS = ("scenario", "variant", "seed", "payoff", "in_time", "late",
             "failed", "read", "domains", "regions")  # fmt: skip
@@ -28,29 +29,32 @@
     variants: str = "",
     count: int = 6,
     first: int = 1,
-    out: pathlib.Path = _OUT,
+    out: pathlib.Path = _OUT_FOLDER,
 ) -> None:
-    """Plays scenarios and prints differences to the policy.
+    """Runs scenarios and prints payoff differences from the policy.
 
     Args:
-        files: scenarios; all that ship with the tool unless given.
-        variants: names with commas between; all unless given.
-        count: plays of each variant, on the same seeds.
-        first: the first seed; reports use those from 1,000 on.
-        out: folder for the figures.
+        files: Scenario files; by default all in bench/deciding/scenarios.
+        variants: Comma-separated names; all by default.
+        count: Runs of each variant, all on the same seeds.
+        first: First seed; reports use seeds from 1,000 on.
+        out: Folder for the CSV files.
     """
     named = [one for one in variants.split(",") if one]
-    chosen = [policies.POLICY, *(n for n in named if n != policies.POLICY)]
+    variant_names = [
+        policies.POLICY,
+        *(n for n in named if n != policies.POLICY),
+    ]
     if not named:
-        chosen = list(policies.VARIANTS)
-    for file in files or sorted(_FOLDER.glob("*.toml")):
+        variant_names = list(policies.VARIANTS)
+    for file in files or sorted(_SCENARIO_FOLDER.glob("*.toml")):
         try:
             found = scenario.load(file)
         except scenario.ScenarioError as exc:
             sys.exit(str(exc))
-        rows = _plays(found, chosen, range(first, first + count))
-        _write(rows, out / f"{found.name}.csv")
-        _print(found.name, rows, chosen)
+        rows = _run_variants(found, variant_names, range(first, first + count))
+        _write_csv(rows, out / f"{found.name}.csv")
+        _print_differences(found.name, rows, variant_names)
 
 
 @app.command
@@ -61,34 +65,34 @@
     part: int = 0,
     parts: int = 1,
     variants: str = "fixed speeds,least outstanding,sticky,oracle",
-    out: pathlib.Path = _OUT,
+    out: pathlib.Path = _OUT_FOLDER,
 ) -> None:
-    """Plays deployments drawn by lot, once under each variant.
+    """Runs random deployments, once under each variant.
 
     Args:
-        cases: how many deployments.
-        first: seed of the first one.
-        part: which share of them this process plays.
-        parts: how many processes share them.
-        variants: names with commas between, beside the policy.
-        out: folder for the figures.
+        cases: Number of deployments.
+        first: Seed of the first deployment.
+        part: Index of this process among `parts`, from 0.
+        parts: Number of processes that share the deployments.
+        variants: Comma-separated names; the policy always runs as well.
+        out: Folder for the CSV files.
     """
-    chosen = [policies.POLICY, *variants.split(",")]
+    variant_names = [policies.POLICY, *variants.split(",")]
     rows = []
     for seed in range(first + part, first + cases, parts):
         found = sweep.draw(seed)
-        rows += _plays(found, chosen, [seed])
+        rows += _run_variants(found, variant_names, [seed])
         print(f"{seed}: {found.name}", file=sys.stderr, flush=True)
-    _write(rows, out / f"drawn-{first}-{part}.csv")
+    _write_csv(rows, out / f"drawn-{first}-{part}.csv")
 
 
 @app.command
-def report(folder: pathlib.Path = _OUT, *, first: int = 1) -> None:
-    """Prints what drawn deployments came to, as parts of the oracle's payoff.
+def report(folder: pathlib.Path = _OUT_FOLDER, *, first: int = 1) -> None:
+    """Prints payoffs on random deployments as shares of the oracle's payoff.
 
     Args:
-        folder: with the figures of all processes.
-        first: seed of the first deployment.
+        folder: Folder with the CSV files of all processes.
+        first: Seed of the first deployment.
     """
     rows = []
     for file in sorted(folder.glob(f"drawn-{first}-*.csv")):
@@ -98,11 +102,11 @@
 
 
 @app.command
-def plot(folder: pathlib.Path = _OUT) -> None:
-    """Draws each variant's payoff by scenario.
+def plot(folder: pathlib.Path = _OUT_FOLDER) -> None:
+    """Plots each variant's payoffs by scenario.
 
     Args:
-        folder: with the figures.
+        folder: Folder with the CSV files.
     """
     rows: list[dict[str, str]] = []
     for file in sorted(folder.glob("*.csv")):
@@ -112,12 +116,12 @@
     plots.payoffs(rows, folder / "payoffs.png")
 
 
-def _plays(
-    found: scenario.Scenario, chosen: list[str], seeds: range | list[int]
+def _run_variants(
+    found: scenario.Scenario, variant_names: list[str], seeds: range | list[int]
 ) -> list[dict[str, object]]:
     rows: list[dict[str, object]] = []
     for seed in seeds:
-        for variant in chosen:
+        for variant in variant_names:
             began_s = time.monotonic()
             make = policies.VARIANTS[variant]
             result = world.Simulation(found, make, seed).run()
@@ -145,7 +149,7 @@
     return rows
 
 
-def _write(rows: list[dict[str, object]], file: pathlib.Path) -> None:
+def _write_csv(rows: list[dict[str, object]], file: pathlib.Path) -> None:
     file.parent.mkdir(parents=True, exist_ok=True)
     with file.open("w", newline="") as lines:
         writer = csv.DictWriter(lines, _COLUMNS)
@@ -153,22 +157,27 @@
         writer.writerows(rows)
 
 
-def _print(name: str, rows: list[dict[str, object]], chosen: list[str]) -> None:
-    by = {
+def _print_differences(
+    name: str, rows: list[dict[str, object]], variant_names: list[str]
+) -> None:
+    payoffs_by_variant = {
         variant: [
             float(str(r["payoff"])) for r in rows if r["variant"] == variant
         ]
-        for variant in chosen
+        for variant in variant_names
     }
-    ours = by[policies.POLICY]
-    print(f"{name}: {policies.POLICY} {sum(ours) / len(ours):.3f}")
-    for variant in chosen[1:]:
-        theirs = by[variant]
-        found = pairs.difference(theirs, ours)
+    policy_payoffs = payoffs_by_variant[policies.POLICY]
+    print(
+        f"{name}: {policies.POLICY}"
+        f" {sum(policy_payoffs) / len(policy_payoffs):.3f}"
+    )
+    for variant in variant_names[1:]:
+        variant_payoffs = payoffs_by_variant[variant]
+        found = pairs.difference(variant_payoffs, policy_payoffs)
         print(
-            f"  {variant:20} {sum(theirs) / len(theirs):.3f}"
+            f"  {variant:20} {sum(variant_payoffs) / len(variant_payoffs):.3f}"
             f"  {found.mean:+.3f} ± {found.half:.3f} in {found.pairs} pairs"
-            f"{'' if found.is_told else '  not told from chance'}"
+            f"{'' if found.is_significant else '  not told from chance'}"
         )
 
 
--- a/bench/deciding/caller.py
+++ b/bench/deciding/caller.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Generator
 
-    from bench.deciding.draws import LineScript, ProgramScript, ToolCall
+    from bench.deciding.draws import AgentScript, ProgramScript, ToolCall
     from bench.deciding.gateway import Gateway, Steps
 
     SuccessSteps = Generator[simpy.Event, Any, bool]
@@ -83,22 +83,22 @@
         """Starts the program at its time and records how it ended."""
         yield self._env.timeout(self._script.at_ms)
         succeeded = yield from self._run_agent(
-            self._script.line, (self._script.shared,)
+            self._script.agent, (self._script.shared,)
         )
         took_ms = self._env.now - self._script.at_ms if succeeded else None
         self._site.ended.append(EndedProgram(self._script, took_ms))
 
     def _run_agent(
-        self, line: LineScript, prompt: tuple[PromptPart, ...]
+        self, agent: AgentScript, prompt: tuple[PromptPart, ...]
     ) -> SuccessSteps:
-        for number, turn in enumerate(line.turns):
-            part = PromptPart(f"{line.name}/{number}", turn.new_tokens)
+        for number, turn in enumerate(agent.turns):
+            part = PromptPart(f"{agent.name}/{number}", turn.new_tokens)
             draw = (
                 self._script.gateway if turn.gateway is None else turn.gateway
             )
             turn_prompt = (*prompt, part)
             succeeded = yield from self._run_turn(
-                line, turn_prompt, turn.out_tokens, draw
+                agent, turn_prompt, turn.out_tokens, draw
             )
             if not succeeded:
                 return False
@@ -120,7 +120,7 @@
 
     def _run_turn(
         self,
-        line: LineScript,
+        agent: AgentScript,
         prompt: tuple[PromptPart, ...],
         tokens: int,
         draw: float,
@@ -131,7 +131,7 @@
                 turn = Turn(
                     attempt=f"{self._script.name}-{self._attempts}",
                     program=self._script.name,
-                    session=line.name,
+                    session=agent.name,
                     prompt=prompt,
                     tokens=tokens,
                     left_ms=self._script.at_ms
--- a/bench/deciding/draws.py
+++ b/bench/deciding/draws.py
@@ -1,4 +1,4 @@
-"""Programs drawn ahead, so that all variants get the same ones."""
+"""Draws programs before a run, so that all variants get the same ones."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     )
 
 _SECOND_MS = 1_000.0
-# The largest draw of a size, in times of its mean.
-_MAX_TIMES = 5.0
+# Upper bound of a draw, as a multiple of its mean.
+_MAX_MEAN_MULTIPLE = 5.0
 _HELPER_TURNS = 2
-# What the aims allow a turn for the ways and its records, in ms.
-_WAY_MS = 68.0
+# Time per turn that the time limits allow for network delays and records.
+_OVERHEAD_PER_TURN_MS = 68.0
 
 
 @dataclasses.dataclass(frozen=True)
 class ToolCall:
-    """One call of a plain service, and what it takes there."""
+    """One call to a plain service and its processing time there."""
 
     tool: Tool
     work_ms: float
@@ -37,24 +37,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class TurnScript:
-    """One turn and what follows it.
+    """One turn, with the tool calls and sub-agents that follow it.
 
     Attributes:
-        gateway: draw in [0, 1) of the gateway, where the turn comes in at
-            another one than the program's own; None: its own.
+        gateway: Draw in [0, 1) that selects another gateway for the turn;
+            None for the program's own gateway.
     """
 
     new_tokens: int
     out_tokens: int
     pause_ms: float
     tools: list[ToolCall]
-    helpers: list[LineScript]
+    helpers: list[AgentScript]
     gateway: float | None
 
 
 @dataclasses.dataclass(frozen=True)
-class LineScript:
-    """A line of turns."""
+class AgentScript:
+    """The consecutive turns of a program's main agent or of a sub-agent."""
 
     name: str
     turns: list[TurnScript]
@@ -65,18 +65,18 @@
     """A program.
 
     Attributes:
-        shared: the first part of all of its prompts.
-        gateway: draw in [0, 1) of its gateway.
-        idle_ms: its time on idle servers that hold the shared part.
-        payoff: if it ends in time.
-        seed: of its own draws while it runs.
+        shared: First part of all its prompts.
+        gateway: Draw in [0, 1) that selects its gateway.
+        idle_ms: Its duration on idle servers that cache the shared part.
+        payoff: Payoff if it finishes within its time limit.
+        seed: Seed of the draws that it makes while it runs.
     """
 
     name: str
     shape: ProgramShape
     at_ms: float
     shared: PromptPart
-    line: LineScript
+    agent: AgentScript
     gateway: float
     idle_ms: float
     payoff: float
@@ -84,12 +84,12 @@
 
     @property
     def aim_ms(self) -> float:
-        """Returns when it should have ended, from its begin."""
+        """Returns its time limit, counted from its start."""
         return self.shape.aim_times * self.idle_ms + self.shape.aim_ms
 
 
 def programs(scenario: Scenario, seed: int) -> list[ProgramScript]:
-    """Draws all programs of a play, by their begin."""
+    """Draws all programs of a run, in order of their start."""
     rng = np.random.default_rng(seed)
     weights = np.array([shape.weight for shape in scenario.programs])
     weights = weights / weights.sum()
@@ -97,18 +97,22 @@
     found: list[ProgramScript] = []
     at_ms = 0.0
     while True:
-        at_ms += rng.exponential(1.0 / (per_ms * _times(scenario, at_ms)))
+        at_ms += rng.exponential(
+            1.0 / (per_ms * _load_multiplier(scenario, at_ms))
+        )
         if at_ms > scenario.seconds * _SECOND_MS:
-            return _paid(found)
+            return _with_payoffs(found)
         kind = int(rng.choice(len(weights), p=weights))
         shape = scenario.programs[kind]
-        found.append(_program(rng, scenario, shape, at_ms, f"p{len(found)}"))
+        found.append(
+            _draw_program(rng, scenario, shape, at_ms, f"p{len(found)}")
+        )
 
 
 def capacity(scenario: Scenario) -> float:
-    """Returns how many programs a ms all engines can serve.
+    """Returns how many programs per ms all engines together can serve.
 
-    Counted with full batches and shared parts that all engines hold.
+    It assumes full batches and that all engines cache the shared parts.
     """
     engine = scenario.engine
     step_ms = engine.step_ms + engine.step_ms_per_slot * engine.slots
@@ -124,8 +128,8 @@
     return engines * speed / per_program_ms
 
 
-def _times(scenario: Scenario, at_ms: float) -> float:
-    """Returns how many times the usual load comes at a moment."""
+def _load_multiplier(scenario: Scenario, at_ms: float) -> float:
+    """Returns the load at a time as a multiple of the usual load."""
     times = 1.0
     for trouble in scenario.troubles:
         end_s = trouble.at_s + trouble.for_s
@@ -137,8 +141,8 @@
     return times
 
 
-def _paid(scripts: list[ProgramScript]) -> list[ProgramScript]:
-    """Weighs payoffs by the programs' size, as a part of their kind's mean."""
+def _with_payoffs(scripts: list[ProgramScript]) -> list[ProgramScript]:
+    """Sets payoffs by each program's size relative to its kind's mean."""
     means: dict[str, float] = {}
     for name in {one.shape.name for one in scripts}:
         idle = [one.idle_ms for one in scripts if one.shape.name == name]
@@ -153,15 +157,15 @@
     ]
 
 
-def _program(
+def _draw_program(
     rng: np.random.Generator,
     scenario: Scenario,
     shape: ProgramShape,
     at_ms: float,
     name: str,
 ) -> ProgramScript:
-    turns = max(1, round(_draw(rng, shape.turns, shape.spread)))
-    line = _line(rng, shape, name, turns, with_helpers=True)
+    turns = max(1, round(_draw_lognormal(rng, shape.turns, shape.spread)))
+    agent = _draw_agent(rng, shape, name, turns, with_helpers=True)
     number = int(rng.integers(max(shape.shared_parts, 1)))
     shared = PromptPart(f"{shape.name}/{number}", shape.shared_tokens)
     return ProgramScript(
@@ -169,30 +173,30 @@
         shape=shape,
         at_ms=at_ms,
         shared=shared,
-        line=line,
+        agent=agent,
         gateway=float(rng.random()),
-        idle_ms=_idle_ms(scenario.engine, line),
+        idle_ms=_idle_ms(scenario.engine, agent),
         payoff=0.0,
         seed=int(rng.integers(2**32)),
     )
 
 
-def _line(
+def _draw_agent(
     rng: np.random.Generator,
     shape: ProgramShape,
     name: str,
     turns: int,
     *,
     with_helpers: bool,
-) -> LineScript:
-    made = [
-        _turn(rng, shape, f"{name}.{number}", with_helpers=with_helpers)
+) -> AgentScript:
+    turn_scripts = [
+        _draw_turn(rng, shape, f"{name}.{number}", with_helpers=with_helpers)
         for number in range(turns)
     ]
-    return LineScript(name, made)
+    return AgentScript(name, turn_scripts)
 
 
-def _turn(
+def _draw_turn(
     rng: np.random.Generator,
     shape: ProgramShape,
     name: str,
@@ -200,7 +204,7 @@
     with_helpers: bool,
 ) -> TurnScript:
     tools = [
-        ToolCall(tool, _draw(rng, tool.work_ms, 0.8))
+        ToolCall(tool, _draw_lognormal(rng, tool.work_ms, 0.8))
         for tool in shape.tools
         if rng.random() < tool.share
         for _ in range(tool.times)
@@ -208,36 +212,44 @@
     helpers = []
     if with_helpers and rng.random() < shape.helpers:
         helpers = [
-            _line(rng, shape, f"{name}h{n}", _HELPER_TURNS, with_helpers=False)
+            _draw_agent(
+                rng, shape, f"{name}h{n}", _HELPER_TURNS, with_helpers=False
+            )
             for n in range(shape.width)
         ]
     moved = rng.random() < shape.moves
     return TurnScript(
-        new_tokens=max(1, round(_draw(rng, shape.new_tokens, shape.spread))),
-        out_tokens=max(1, round(_draw(rng, shape.out_tokens, shape.spread))),
-        pause_ms=_draw(rng, shape.pause_ms, shape.spread),
+        new_tokens=max(
+            1, round(_draw_lognormal(rng, shape.new_tokens, shape.spread))
+        ),
+        out_tokens=max(
+            1, round(_draw_lognormal(rng, shape.out_tokens, shape.spread))
+        ),
+        pause_ms=_draw_lognormal(rng, shape.pause_ms, shape.spread),
         tools=tools,
         helpers=helpers,
         gateway=float(rng.random()) if moved else None,
     )
 
 
-def _draw(rng: np.random.Generator, mean: float, sigma: float) -> float:
-    """Returns a lognormal draw with this mean."""
+def _draw_lognormal(
+    rng: np.random.Generator, mean: float, sigma: float
+) -> float:
+    """Returns a lognormal draw with this mean, up to a bound."""
     mu = math.log(mean) - sigma * sigma / 2
-    return min(float(rng.lognormal(mu, sigma)), _MAX_TIMES * mean)
+    return min(float(rng.lognormal(mu, sigma)), _MAX_MEAN_MULTIPLE * mean)
 
 
-def _idle_ms(engine: EngineShape, line: LineScript) -> float:
-    """Returns a line's time on idle servers."""
+def _idle_ms(engine: EngineShape, agent: AgentScript) -> float:
+    """Returns the duration of an agent's turns on idle servers."""
     step_ms = engine.step_ms + engine.step_ms_per_slot
     total = 0.0
-    for turn in line.turns:
-        total += _WAY_MS + engine.first_ms
+    for turn in agent.turns:
+        total += _OVERHEAD_PER_TURN_MS + engine.first_ms
         total += turn.new_tokens / engine.read_per_ms
         total += turn.out_tokens * step_ms
-        after = [turn.pause_ms]
-        after += [call.work_ms for call in turn.tools]
-        after += [_idle_ms(engine, helper) for helper in turn.helpers]
-        total += max(after)
+        follow_up_ms = [turn.pause_ms]
+        follow_up_ms += [call.work_ms for call in turn.tools]
+        follow_up_ms += [_idle_ms(engine, helper) for helper in turn.helpers]
+        total += max(follow_up_ms)
     return total
--- a/bench/deciding/plots.py
+++ b/bench/deciding/plots.py
@@ -1,4 +1,4 @@
-"""Plots of what variants earned."""
+"""Plots the payoffs of variants."""
 
 from __future__ import annotations
 
@@ -18,20 +18,28 @@
 
 
 def payoffs(rows: list[dict[str, str]], file: pathlib.Path) -> None:
-    """Draws each variant's payoffs, one point a play, by scenario."""
-    by: dict[str, dict[str, list[float]]] = collections.defaultdict(dict)
+    """Plots each variant's payoffs by scenario, one point per run."""
+    by_scenario: dict[str, dict[str, list[float]]] = collections.defaultdict(
+        dict
+    )
     for row in rows:
-        held = by[row["scenario"]].setdefault(row["variant"], [])
-        held.append(float(row["payoff"]))
-    if not by:
+        payoffs_of_variant = by_scenario[row["scenario"]].setdefault(
+            row["variant"], []
+        )
+        payoffs_of_variant.append(float(row["payoff"]))
+    if not by_scenario:
         return
-    variants = sum(len(one) for one in by.values())
+    variants = sum(len(one) for one in by_scenario.values())
     size = (_WIDTH_IN, 2 + _ROW_IN * variants)
-    figure, axes = plt.subplots(len(by), 1, figsize=size, squeeze=False)
-    for axis, (name, found) in zip(axes[:, 0], sorted(by.items()), strict=True):
-        for place, values in enumerate(found.values()):
-            axis.plot(values, [place] * len(values), ".", color="C0")
-        axis.set_yticks(range(len(found)), list(found))
+    figure, axes = plt.subplots(
+        len(by_scenario), 1, figsize=size, squeeze=False
+    )
+    for axis, (name, by_variant) in zip(
+        axes[:, 0], sorted(by_scenario.items()), strict=True
+    ):
+        for row_index, values in enumerate(by_variant.values()):
+            axis.plot(values, [row_index] * len(values), ".", color="C0")
+        axis.set_yticks(range(len(by_variant)), list(by_variant))
         axis.invert_yaxis()
         axis.set_title(name)
         axis.set_xlim(0, 1.02)
--- a/bench/deciding/policies.py
+++ b/bench/deciding/policies.py
@@ -1,4 +1,4 @@
-"""What is compared: the policy, parts of it left out, baselines, an oracle."""
+"""Variants to compare: the policy, ablations of it, baselines, an oracle."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
     from catkinpin.core.requests.calls import Load, PromptPart, RouteCall
 
 
-# Longest that a turn counts at the server that was named for it.
-_TURN_MS = 6_000
+# Deadline that the placer gets for each turn; it drops the turn soon after it.
+_TURN_DEADLINE_MS = 6_000
 
 
 @dataclasses.dataclass(frozen=True)
 class GroundTruth:
-    """What really is, for variants that may know it.
+    """Actual state of all servers, for variants that may read it.
 
     Attributes:
-        engines: by server id.
-        services: by server id.
+        engines: Model servers by id.
+        services: Plain servers by id.
     """
 
     engines: dict[str, Engine]
     services: dict[str, Service]
 
     def load(self, server: str) -> Load:
-        """Returns a server's load at this moment."""
+        """Returns a server's current load."""
         if server in self.engines:
             return self.engines[server].load()
         return self.services[server].load()
@@ -47,7 +47,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class GatewayContext:
-    """Where a gateway stands."""
+    """Inputs from which a variant makes one gateway's policy.
+
+    Attributes:
+        domain: Failure domain of the gateway.
+        regions: Region of each failure domain.
+        rng: Random numbers for this gateway.
+        truth: Actual state of all servers.
+    """
 
     domain: str
     regions: dict[str, str]
@@ -57,10 +64,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Policy:
-    """What one gateway decides by.
+    """Decision rules of one gateway.
 
     Attributes:
-        rank: of a turn, from its program's standing.
+        balancer: Picks the server of each request.
+        speeds: Estimates of server speeds.
+        rank: Returns a turn's urgency, given its program's status.
     """
 
     balancer: Balancer
@@ -68,23 +77,25 @@
     rank: Callable[[ProgramStatus], int] = urgency.turn_urgency
 
 
-def _plain(
-    kind: type[Balancer] = Balancer,
+def _gateway_variant(
+    balancer_class: type[Balancer] = Balancer,
     make_speeds: Callable[[], Speeds] = Speeds,
     rank: Callable[[ProgramStatus], int] = urgency.turn_urgency,
 ) -> Callable[[GatewayContext], Policy]:
-    """Returns a variant that needs no more than a gateway knows."""
+    """Returns a variant that uses only what a real gateway knows."""
 
-    def make(place: GatewayContext) -> Policy:
+    def make(context: GatewayContext) -> Policy:
         speeds = make_speeds()
-        balancer = kind(place.domain, place.regions, place.rng, speeds)
+        balancer = balancer_class(
+            context.domain, context.regions, context.rng, speeds
+        )
         return Policy(balancer, speeds, rank)
 
     return make
 
 
 class FixedSpeeds(Speeds):
-    """Speeds that nothing is learned of."""
+    """Speeds that stay fixed, whatever is measured."""
 
     def __init__(self, speed: EngineSpeed, plain_ms: float = 50.0) -> None:
         super().__init__()
@@ -92,15 +103,15 @@
         self._fixed_plain_ms = plain_ms
 
     def engine_speed(self, service: str) -> EngineSpeed:
-        """Returns the same for all services."""
+        """Returns the fixed speed for every service."""
         return self._speed
 
     def slowdown(self, server: str, now_ms: int) -> float:
-        """Returns that no server differs."""
+        """Returns 1.0 for every server."""
         return 1.0
 
     def plain_ms(self, route: str) -> float:
-        """Returns the same for all routes."""
+        """Returns the fixed time for every route."""
         return self._fixed_plain_ms
 
     def record_stream(
@@ -111,18 +122,18 @@
         sample: StreamTimings,
         now_ms: int,
     ) -> None:
-        """Learns nothing."""
+        """Ignores the sample."""
 
 
 class _NoFactors(Speeds):
-    """All servers of a service are alike."""
+    """Speeds that treat all servers of a service as equally fast."""
 
     def slowdown(self, server: str, now_ms: int) -> float:
         return 1.0
 
 
 class _NoCache(Balancer):
-    """Prompts lie nowhere."""
+    """Balancer that doesn't track which server caches which prompt."""
 
     def record_prompt(
         self, instance: Instance, prompt: Iterable[PromptPart]
@@ -131,14 +142,14 @@
 
 
 class _NoLoads(Balancer):
-    """What servers tell of their load is not listened to."""
+    """Balancer that ignores the servers' load reports."""
 
     def report_load(self, instance: Instance, load: Load, now_ms: int) -> bool:
         return True
 
 
 class _NoEjection(Balancer):
-    """Servers that fail are asked again at once."""
+    """Balancer that never ejects a failing server."""
 
     def record_failure(
         self, instance: Instance, now_ms: int, *, immediate: bool
@@ -146,8 +157,8 @@
         return False
 
 
-class _Own(Balancer):
-    """Only a request's own time counts."""
+class _OwnTimeOnly(Balancer):
+    """Balancer that ignores the delay a request causes to others."""
 
     def _cost_to_others_ms(
         self, work: balance.WorkEstimate, beside: int, queued: int, slots: int
@@ -155,8 +166,8 @@
         return 0.0
 
 
-class _Oracle(Balancer):
-    """Knows each server's true load, cache and speed at each moment."""
+class _OracleBalancer(Balancer):
+    """Balancer that always knows each server's true load, cache and speed."""
 
     truth: GroundTruth
 
@@ -181,7 +192,7 @@
 
 
 class _TrueSpeeds(FixedSpeeds):
-    """The true speeds of all servers."""
+    """Speeds that return the true values of all servers."""
 
     def __init__(self, truth: GroundTruth) -> None:
         shape = next(iter(truth.engines.values())).shape
@@ -200,22 +211,24 @@
         return Speeds.plain_ms(self, route)
 
 
-def _oracle(place: GatewayContext) -> Policy:
-    speeds = _TrueSpeeds(place.truth)
-    balancer = _Oracle(place.domain, place.regions, place.rng, speeds)
-    balancer.truth = place.truth
+def _oracle(context: GatewayContext) -> Policy:
+    speeds = _TrueSpeeds(context.truth)
+    balancer = _OracleBalancer(
+        context.domain, context.regions, context.rng, speeds
+    )
+    balancer.truth = context.truth
     return Policy(balancer, speeds)
 
 
-def _true_speeds(place: GatewayContext) -> Policy:
-    speeds = _TrueSpeeds(place.truth)
+def _true_speeds(context: GatewayContext) -> Policy:
+    speeds = _TrueSpeeds(context.truth)
     return Policy(
-        Balancer(place.domain, place.regions, place.rng, speeds), speeds
+        Balancer(context.domain, context.regions, context.rng, speeds), speeds
     )
 
 
 class _RoundRobin(Balancer):
-    """One server after the other."""
+    """Balancer that takes the servers in turn."""
 
     _next = 0
 
@@ -228,15 +241,18 @@
         route: str = "",
         domain: str = "",
     ) -> Choice | None:
-        fit = _fit(self, servers, avoid, now_ms)
-        if not fit:
+        usable = _usable_servers(self, servers, avoid, now_ms)
+        if not usable:
             return None
         self._next += 1
-        return Choice(fit[self._next % len(fit)], 0.0, 0, -1)
+        return Choice(usable[self._next % len(usable)], 0.0, 0, -1)
 
 
 class _LeastOutstanding(Balancer):
-    """The server to which this gateway has sent the fewest that still run."""
+    """Balancer that picks the server with the fewest requests in flight.
+
+    It counts only requests that this gateway sent.
+    """
 
     def pick(
         self,
@@ -247,16 +263,21 @@
         route: str = "",
         domain: str = "",
     ) -> Choice | None:
-        fit = _fit(self, servers, avoid, now_ms)
-        if not fit:
+        usable = _usable_servers(self, servers, avoid, now_ms)
+        if not usable:
             return None
-        least = min(self._tracked(one).in_flight for one in fit)
-        near = [one for one in fit if self._tracked(one).in_flight == least]
-        return Choice(self._rng.choice(near), 0.0, 0, -1)
+        fewest = min(self._tracked(one).in_flight for one in usable)
+        candidates = [
+            one for one in usable if self._tracked(one).in_flight == fewest
+        ]
+        return Choice(self._rng.choice(candidates), 0.0, 0, -1)
 
 
 class _Sticky(_LeastOutstanding):
-    """A session's server, the least loaded one for a new session."""
+    """Balancer that keeps each session on one server.
+
+    A new session goes to the server with the fewest requests in flight.
+    """
 
     def __init__(
         self,
@@ -266,7 +287,7 @@
         speeds: Speeds,
     ) -> None:
         super().__init__(domain, regions, rng, speeds)
-        self._homes: collections.OrderedDict[str, str] = (
+        self._session_servers: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
 
@@ -280,18 +301,20 @@
         domain: str = "",
     ) -> Choice | None:
         listed = list(servers)
-        home = self._homes.get(call.session) if call.session else None
-        for one in _fit(self, listed, avoid, now_ms):
-            if one.id == home:
+        session_server = (
+            self._session_servers.get(call.session) if call.session else None
+        )
+        for one in _usable_servers(self, listed, avoid, now_ms):
+            if one.id == session_server:
                 return Choice(one, 0.0, 0, -1)
         choice = super().pick(listed, call, now_ms, avoid, route)
         if choice is not None and call.session:
-            self._homes[call.session] = choice.instance.id
+            self._session_servers[call.session] = choice.instance.id
         return choice
 
 
-class _Placed(Balancer):
-    """The leader names the server of each turn."""
+class _PlacerBalancer(Balancer):
+    """Balancer that asks the leader's placer for the server of each turn."""
 
     placer: Placer
 
@@ -321,7 +344,7 @@
                 domain=self._domain,
                 prompt=list(call.prompt),
                 max_tokens=call.max_tokens,
-                left_ms=_TURN_MS,
+                left_ms=_TURN_DEADLINE_MS,
             )
             name = self.placer.place(call.attempt, turn, listed, None, now_ms)
             for one in listed:
@@ -341,57 +364,62 @@
 
 
 def _leader_placement() -> Callable[[GatewayContext], Policy]:
-    """Returns a variant in which one placer serves all gateways of a play."""
+    """Returns a variant in which all gateways of a run share one placer."""
     placers: dict[int, Placer] = {}
 
-    def make(place: GatewayContext) -> Policy:
-        key = id(place.truth)
+    def make(context: GatewayContext) -> Policy:
+        key = id(context.truth)
         if key not in placers:
             placers.clear()
-            placers[key] = Placer(place.regions, place.rng)
+            placers[key] = Placer(context.regions, context.rng)
         speeds = Speeds()
-        balancer = _Placed(place.domain, place.regions, place.rng, speeds)
+        balancer = _PlacerBalancer(
+            context.domain, context.regions, context.rng, speeds
+        )
         balancer.placer = placers[key]
         return Policy(balancer, speeds)
 
     return make
 
 
-def _fit(
+def _usable_servers(
     balancer: Balancer,
     servers: Iterable[Instance],
     avoid: Collection[str],
     now_ms: int,
 ) -> list[Instance]:
     ready = [one for one in servers if one.id not in avoid]
-    fit = [one for one in ready if not balancer._is_ejected(one, now_ms)]
-    return fit or ready
+    usable = [one for one in ready if not balancer._is_ejected(one, now_ms)]
+    return usable or ready
 
 
-def _all_alike(program_status: ProgramStatus) -> int:
+def _default_urgency(program_status: ProgramStatus) -> int:
     return urgency.URGENCY_DEFAULT
 
 
-# What the engines of the first users take; all before speeds were learned.
-_FIRST_USERS = EngineSpeed(1 / 145, 0.95, 0.04)
+# Speed of the first users' engines, which the product assumed for all engines
+# before it learned speeds.
+_FIRST_USERS_SPEED = EngineSpeed(1 / 145, 0.95, 0.04)
 
 POLICY = "policy"
 ORACLE = "oracle"
 BASELINES = ("round robin", "least outstanding", "sticky")
 
 VARIANTS: dict[str, Callable[[GatewayContext], Policy]] = {
-    POLICY: _plain(),
-    "fixed speeds": _plain(make_speeds=lambda: FixedSpeeds(_FIRST_USERS)),
+    POLICY: _gateway_variant(),
+    "fixed speeds": _gateway_variant(
+        make_speeds=lambda: FixedSpeeds(_FIRST_USERS_SPEED)
+    ),
     "true speeds": _true_speeds,
-    "no server factors": _plain(make_speeds=_NoFactors),
-    "no cache": _plain(_NoCache),
-    "no loads": _plain(_NoLoads),
-    "no ejection": _plain(_NoEjection),
-    "own time only": _plain(_Own),
-    "no urgency": _plain(rank=_all_alike),
-    "round robin": _plain(_RoundRobin),
-    "least outstanding": _plain(_LeastOutstanding),
-    "sticky": _plain(_Sticky),
+    "no server factors": _gateway_variant(make_speeds=_NoFactors),
+    "no cache": _gateway_variant(_NoCache),
+    "no loads": _gateway_variant(_NoLoads),
+    "no ejection": _gateway_variant(_NoEjection),
+    "own time only": _gateway_variant(_OwnTimeOnly),
+    "no urgency": _gateway_variant(rank=_default_urgency),
+    "round robin": _gateway_variant(_RoundRobin),
+    "least outstanding": _gateway_variant(_LeastOutstanding),
+    "sticky": _gateway_variant(_Sticky),
     "leader placement": _leader_placement(),
     ORACLE: _oracle,
 }
--- a/bench/deciding/scenario.py
+++ b/bench/deciding/scenario.py
@@ -1,4 +1,4 @@
-"""What is played: a deployment, its programs, its load and its disturbances."""
+"""Scenario files: a deployment, its programs, load and disturbances."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class ScenarioError(Exception):
-    """A scenario that can't be played; its text lists all that is wrong."""
+    """Raised for an invalid scenario; the text lists all problems."""
 
 
 class Domain(msgspec.Struct, frozen=True, kw_only=True):
-    """A failure domain and what stands in it."""
+    """A failure domain and its number of gateways and servers."""
 
     name: str
     region: str
@@ -29,14 +29,14 @@
     """A model server.
 
     Attributes:
-        slots: requests that it runs at once.
-        memory_tokens: of running requests and cached parts together.
-        read_per_ms: prompt tokens that it reads in a ms.
-        step_ms: a step, in which each request gets a token.
-        step_ms_per_slot: what each running request adds to it.
-        chunk: prompt tokens that are read within one step at most.
-        first_ms: before a request's first step.
-        factors: how many times as long servers take, in turn.
+        slots: Largest number of running requests.
+        memory_tokens: Memory for running requests and cached parts together.
+        read_per_ms: Prompt tokens prefilled per ms.
+        step_ms: Base time of a step, which generates a token per request.
+        step_ms_per_slot: Time that each running request adds to a step.
+        chunk: Largest number of prompt tokens prefilled in one step.
+        first_ms: Time before a request's first step.
+        factors: Multipliers of processing times; servers take them in turn.
     """
 
     slots: int
@@ -53,9 +53,9 @@
     """A plain server.
 
     Attributes:
-        queue: requests that wait there; what comes beyond is refused.
-        full_part: of its slots, from which on it gets slower.
-        full_times: how many times as long it takes with all slots taken.
+        queue: Largest number of queued requests; it refuses more.
+        full_part: Share of busy slots above which it gets slower.
+        full_times: Multiplier of processing times with all slots busy.
     """
 
     slots: int = 6
@@ -65,7 +65,7 @@
 
 
 class Links(msgspec.Struct, frozen=True, kw_only=True):
-    """One-way delays in ms."""
+    """One-way network delays and the time to write a ledger record, in ms."""
 
     domain_ms: float = 1.0
     region_ms: float = 8.0
@@ -74,12 +74,12 @@
 
 
 class Tool(msgspec.Struct, frozen=True, kw_only=True):
-    """Calls of a plain service after a turn.
+    """Calls to a plain service after a turn.
 
     Attributes:
-        share: of the turns that are followed by it.
-        times: calls at once.
-        repeatable: whether a call may run twice.
+        share: Share of the turns that such calls follow.
+        times: Number of concurrent calls.
+        repeatable: Whether a call may run twice.
     """
 
     name: str
@@ -94,16 +94,21 @@
     """A kind of program.
 
     Attributes:
-        weight: of all programs that begin.
-        turns: on average.
-        spread: sigma of turns, pauses and sizes, which are lognormal.
-        shared_tokens: of the prompt's first part, one of `shared_parts`.
-        out_tokens: on average; callers allow twice their length.
-        pause_ms: between two turns, beside the tools.
-        helpers: share of the turns that are followed by sub-agents.
-        width: sub-agents at once, with two turns each.
-        aim_times: of its time on idle servers, plus `aim_ms`.
-        moves: share of the turns that come in through another gateway.
+        weight: Relative frequency among the programs that start.
+        turns: Mean number of turns.
+        spread: Sigma of the lognormal turns, pauses and sizes.
+        shared_parts: Number of different first prompt parts.
+        shared_tokens: Length of the first prompt part.
+        new_tokens: Mean prompt tokens that a turn adds.
+        out_tokens: Mean output tokens; callers allow twice the length drawn.
+        pause_ms: Mean pause between two turns, concurrent with the tools.
+        helpers: Share of the turns that start sub-agents.
+        width: Number of concurrent sub-agents, with two turns each.
+        aim_times: Time limit as a multiple of the program's time on idle
+            servers; `aim_ms` is added.
+        payoff: Payoff scale of a program that finishes within its limit.
+        late_payoff: The same for one that finishes within twice the limit.
+        moves: Share of the turns that arrive at another gateway.
     """
 
     name: str
@@ -127,14 +132,14 @@
 
 
 class TroubleKind(enum.StrEnum):
-    """What goes wrong.
-
-    REPLACE: engines drain one after the other, fresh ones stand in for them.
-    SLOW: engines take `times` as long.
-    LOSE: engines die, and are back empty after `for_s`.
-    HANG: engines answer nothing meanwhile.
-    GATEWAYS: gateways die, and are back knowing nothing.
-    BURST: `times` as many programs come.
+    """Kind of disturbance.
+
+    REPLACE: New engines replace old ones, which drain one after the other.
+    SLOW: Processing times of engines are `times` as long for `for_s`.
+    LOSE: Engines crash and restart with an empty cache after `for_s`.
+    HANG: Engines stop answering for `for_s`.
+    GATEWAYS: Gateways crash and restart without state after `for_s`.
+    BURST: The rate of new programs is `times` as high for `for_s`.
     """
 
     REPLACE = "replace"
@@ -149,7 +154,10 @@
     """One disturbance.
 
     Attributes:
-        share: of the servers or gateways, one at least.
+        at_s: Start time.
+        for_s: Duration.
+        share: Affected share of the engines or gateways, at least one.
+        times: Multiplier of SLOW and BURST.
     """
 
     kind: TroubleKind
@@ -160,11 +168,11 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """All of it.
+    """A deployment, its programs, load and disturbances.
 
     Attributes:
-        load: of what the engines can serve; see `draws.capacity`.
-        seconds: during which programs begin.
+        load: Offered load as a share of the capacity; see `draws.capacity`.
+        seconds: Time during which programs start.
     """
 
     name: str
@@ -179,10 +187,10 @@
 
 
 def load(path: pathlib.Path) -> Scenario:
-    """Reads a scenario.
+    """Reads and validates a scenario.
 
     Raises:
-        ScenarioError: it can't be read, or can't be played.
+        ScenarioError: The file is unreadable or the scenario is invalid.
     """
     try:
         found = msgspec.toml.decode(path.read_bytes(), type=Scenario)
@@ -195,7 +203,7 @@
 
 
 def problems(scenario: Scenario) -> list[str]:
-    """Returns all that keeps a scenario from being played."""
+    """Returns the texts of all problems of a scenario."""
     engine = scenario.engine
     checks = [
         (scenario.load > 0, "load: must be above 0"),
@@ -206,10 +214,10 @@
         (engine.step_ms > 0, "engine.step_ms: must be above 0"),
         (bool(engine.factors), "engine.factors: none"),
         (all(f > 0 for f in engine.factors), "engine.factors: not above 0"),
-        (_total(scenario, "gateways") > 0, "domains: no gateway"),
-        (_total(scenario, "engines") > 0, "domains: no engine"),
+        (_sum_over_domains(scenario, "gateways") > 0, "domains: no gateway"),
+        (_sum_over_domains(scenario, "engines") > 0, "domains: no engine"),
     ]
-    found = [text for holds, text in checks if not holds]
+    found = [text for is_valid, text in checks if not is_valid]
     for shape in scenario.programs:
         found += _program_problems(scenario, shape)
     for number, trouble in enumerate(scenario.troubles):
@@ -229,15 +237,15 @@
         found.append(f"{name}.turns: must be 1 or more")
     if shape.out_tokens < 1 or shape.new_tokens < 1:
         found.append(f"{name}: turns must read and make tokens")
-    if shape.tools and not _total(scenario, "services"):
+    if shape.tools and not _sum_over_domains(scenario, "services"):
         found.append(f"{name}.tools: there is no plain service")
-    whole = shape.shared_tokens + 2 * shape.turns * (
+    large_prompt_tokens = shape.shared_tokens + 2 * shape.turns * (
         shape.new_tokens + shape.out_tokens
     )
-    if whole > scenario.engine.memory_tokens:
+    if large_prompt_tokens > scenario.engine.memory_tokens:
         found.append(f"{name}: its prompts don't fit into an engine")
     return found
 
 
-def _total(scenario: Scenario, what: str) -> int:
-    return sum(int(getattr(one, what)) for one in scenario.domains)
+def _sum_over_domains(scenario: Scenario, field: str) -> int:
+    return sum(int(getattr(one, field)) for one in scenario.domains)
--- a/bench/deciding/world.py
+++ b/bench/deciding/world.py
@@ -258,7 +258,7 @@
     """Returns the prompt tokens of all turns of a program's main agent."""
     total = 0
     context = script.shared.tokens
-    for turn in script.line.turns:
+    for turn in script.agent.turns:
         context += turn.new_tokens
         total += context
         context += turn.out_tokens
--- a/tests/test_deciding.py
+++ b/tests/test_deciding.py
@@ -1,4 +1,4 @@
-"""The model of what gateways serve, against cases worked by hand."""
+"""Tests the simulation of bench/deciding against cases worked by hand."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class EngineTest(testtools.TestCase):
-    """Times, memory and order at one engine."""
+    """Tests times, memory and order of requests at one engine."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -56,7 +56,7 @@
         return tuple(PromptPart(f"p{n}", t) for n, t in enumerate(tokens))
 
     def test_one_request_takes_what_the_arithmetic_says(self) -> None:
-        """1,000 tokens are read in two chunks of 500, then 20 are made."""
+        """Prefills 1,000 tokens in two chunks of 500, then generates 20."""
         job = self.engine.submit(self._prompt(1_000), 20, 5)
         self.env.run(until=job.done)
         chunk_ms = 500 / 50 + 6.5
@@ -78,9 +78,9 @@
         self.assertAlmostEqual(10 * 7.0, self.env.now, delta=8.0)
 
     def test_urgent_request_takes_a_slot_and_nothing_is_lost(self) -> None:
-        """All slots make tokens; a turn that must go first comes.
+        """An urgent turn arrives while all slots are busy.
 
-        The newest of the others is put back and still gets all its tokens.
+        It preempts the newest request, which still gets all its tokens later.
         """
         jobs = [
             self.engine.submit((PromptPart(f"q{n}", 10),), 100, 6)
@@ -106,7 +106,7 @@
         )
 
     def test_memory_is_never_exceeded(self) -> None:
-        """More prompts come than fit; the oldest unused ones yield."""
+        """The cache evicts the least recently used parts when it is full."""
         cache = Cache(3_000)
         for number in range(50):
             prompt = (PromptPart("all", 500), PromptPart(f"s{number}", 700))
@@ -119,7 +119,7 @@
 
 
 class ServiceTest(testtools.TestCase):
-    """A plain server."""
+    """Tests a plain server."""
 
     def test_queue_is_served_in_order_and_bounded(self) -> None:
         env = simpy.Environment()
@@ -133,7 +133,7 @@
 
 
 class PlayTest(testtools.TestCase):
-    """Whole plays."""
+    """Tests whole runs of a scenario."""
 
     def test_same_seed_plays_the_same(self) -> None:
         make = policies.VARIANTS[policies.POLICY]
@@ -152,7 +152,7 @@
         self.assertEqual(0, result.failed)
 
     def test_scattered_sessions_earn_less(self) -> None:
-        """Turns go to one engine after the other, and are read anew."""
+        """Round robin moves sessions between engines, which prefill again."""
         policy = policies.VARIANTS[policies.POLICY]
         scattered = policies.VARIANTS["round robin"]
         ours = world.Simulation(_scenario(0.9), policy, 3).run()
@@ -162,7 +162,7 @@
 
 
 class ScenarioTest(testtools.TestCase):
-    """Scenarios that can't be played, and those drawn by lot."""
+    """Tests invalid scenarios and random ones."""
 
     def test_all_problems_are_listed_at_once(self) -> None:
         wrong = msgspec.structs.replace(
@@ -181,17 +181,17 @@
 
 
 class PairsTest(testtools.TestCase):
-    """Differences, and what can be told from chance."""
+    """Tests paired differences and their significance."""
 
     def test_difference_that_all_pairs_share_is_told(self) -> None:
         ours = [0.50, 0.70, 0.60, 0.90]
         found = pairs.difference([x + 0.02 for x in ours], ours)
         self.assertAlmostEqual(0.02, found.mean)
-        self.assertTrue(found.is_told)
+        self.assertTrue(found.is_significant)
 
     def test_noise_is_not_told(self) -> None:
         found = pairs.difference([0.5, 0.9, 0.6], [0.6, 0.7, 0.65])
-        self.assertFalse(found.is_told)
+        self.assertFalse(found.is_significant)
 
     def test_one_pair_tells_nothing(self) -> None:
         found = pairs.difference([0.9], [0.1])
