--- a/bench/deciding/__main__.py
+++ b/bench/deciding/__main__.py
@@ -49,12 +49,14 @@
         variant_names = list(policies.VARIANTS)
     for file in files or sorted(_SCENARIO_FOLDER.glob("*.toml")):
         try:
-            found = scenario.load(file)
+            deployment = scenario.load(file)
         except scenario.ScenarioError as exc:
             sys.exit(str(exc))
-        rows = _run_variants(found, variant_names, range(first, first + count))
-        _write_csv(rows, out / f"{found.name}.csv")
-        _print_differences(found.name, rows, variant_names)
+        rows = _run_variants(
+            deployment, variant_names, range(first, first + count)
+        )
+        _write_csv(rows, out / f"{deployment.name}.csv")
+        _print_differences(deployment.name, rows, variant_names)
 
 
 @app.command
@@ -80,9 +82,9 @@
     variant_names = [policies.POLICY, *variants.split(",")]
     rows = []
     for seed in range(first + part, first + cases, parts):
-        found = sweep.draw(seed)
-        rows += _run_variants(found, variant_names, [seed])
-        print(f"{seed}: {found.name}", file=sys.stderr, flush=True)
+        deployment = sweep.draw(seed)
+        rows += _run_variants(deployment, variant_names, [seed])
+        print(f"{seed}: {deployment.name}", file=sys.stderr, flush=True)
     _write_csv(rows, out / f"drawn-{first}-{part}.csv")
 
 
@@ -117,17 +119,19 @@
 
 
 def _run_variants(
-    found: scenario.Scenario, variant_names: list[str], seeds: range | list[int]
+    deployment: scenario.Scenario,
+    variant_names: list[str],
+    seeds: range | list[int],
 ) -> list[dict[str, object]]:
     rows: list[dict[str, object]] = []
     for seed in seeds:
         for variant in variant_names:
             began_s = time.monotonic()
             make = policies.VARIANTS[variant]
-            result = world.Simulation(found, make, seed).run()
+            result = world.Simulation(deployment, make, seed).run()
             rows.append(
                 {
-                    "scenario": found.name,
+                    "scenario": deployment.name,
                     "variant": variant,
                     "seed": seed,
                     "payoff": result.payoff,
@@ -141,7 +145,7 @@
             )
             took_s = time.monotonic() - began_s
             print(
-                f"{found.name} {variant} {seed}: {result.payoff:.3f}"
+                f"{deployment.name} {variant} {seed}: {result.payoff:.3f}"
                 f" ({took_s:.1f} s)",
                 file=sys.stderr,
                 flush=True,
@@ -173,11 +177,11 @@
     )
     for variant in variant_names[1:]:
         variant_payoffs = payoffs_by_variant[variant]
-        found = pairs.difference(variant_payoffs, policy_payoffs)
+        paired = pairs.difference(variant_payoffs, policy_payoffs)
         print(
             f"  {variant:20} {sum(variant_payoffs) / len(variant_payoffs):.3f}"
-            f"  {found.mean:+.3f} ± {found.half:.3f} in {found.pairs} pairs"
-            f"{'' if found.is_significant else '  not told from chance'}"
+            f"  {paired.mean:+.3f} ± {paired.half:.3f} in {paired.pairs} pairs"
+            f"{'' if paired.is_significant else '  not told from chance'}"
         )
 
 
--- a/bench/deciding/draws.py
+++ b/bench/deciding/draws.py
@@ -94,18 +94,18 @@
     weights = np.array([shape.weight for shape in scenario.programs])
     weights = weights / weights.sum()
     per_ms = scenario.load * capacity(scenario)
-    found: list[ProgramScript] = []
+    scripts: list[ProgramScript] = []
     at_ms = 0.0
     while True:
         at_ms += rng.exponential(
             1.0 / (per_ms * _load_multiplier(scenario, at_ms))
         )
         if at_ms > scenario.seconds * _SECOND_MS:
-            return _with_payoffs(found)
+            return _with_payoffs(scripts)
         kind = int(rng.choice(len(weights), p=weights))
         shape = scenario.programs[kind]
-        found.append(
-            _draw_program(rng, scenario, shape, at_ms, f"p{len(found)}")
+        scripts.append(
+            _draw_program(rng, scenario, shape, at_ms, f"p{len(scripts)}")
         )
 
 
--- a/bench/deciding/scenario.py
+++ b/bench/deciding/scenario.py
@@ -193,13 +193,13 @@
         ScenarioError: The file is unreadable or the scenario is invalid.
     """
     try:
-        found = msgspec.toml.decode(path.read_bytes(), type=Scenario)
+        decoded = msgspec.toml.decode(path.read_bytes(), type=Scenario)
     except (OSError, msgspec.DecodeError) as exc:
         raise ScenarioError(f"{path}: {exc}") from exc
-    wrong = problems(found)
-    if wrong:
-        raise ScenarioError(f"{path}:\n  " + "\n  ".join(wrong))
-    return found
+    texts = problems(decoded)
+    if texts:
+        raise ScenarioError(f"{path}:\n  " + "\n  ".join(texts))
+    return decoded
 
 
 def problems(scenario: Scenario) -> list[str]:
@@ -217,34 +217,34 @@
         (_sum_over_domains(scenario, "gateways") > 0, "domains: no gateway"),
         (_sum_over_domains(scenario, "engines") > 0, "domains: no engine"),
     ]
-    found = [text for is_valid, text in checks if not is_valid]
+    texts = [text for is_valid, text in checks if not is_valid]
     for shape in scenario.programs:
-        found += _program_problems(scenario, shape)
+        texts += _program_problems(scenario, shape)
     for number, trouble in enumerate(scenario.troubles):
         if not 0 < trouble.share <= 1:
-            found.append(f"troubles[{number}].share: must be in (0, 1]")
+            texts.append(f"troubles[{number}].share: must be in (0, 1]")
         if trouble.at_s < 0 or trouble.for_s <= 0 or trouble.times <= 0:
-            found.append(f"troubles[{number}]: a time or factor is not valid")
-    return found
+            texts.append(f"troubles[{number}]: a time or factor is not valid")
+    return texts
 
 
 def _program_problems(scenario: Scenario, shape: ProgramShape) -> list[str]:
     name = f"programs.{shape.name}"
-    found = []
+    texts = []
     if shape.weight <= 0:
-        found.append(f"{name}.weight: must be above 0")
+        texts.append(f"{name}.weight: must be above 0")
     if shape.turns < 1:
-        found.append(f"{name}.turns: must be 1 or more")
+        texts.append(f"{name}.turns: must be 1 or more")
     if shape.out_tokens < 1 or shape.new_tokens < 1:
-        found.append(f"{name}: turns must read and make tokens")
+        texts.append(f"{name}: turns must read and make tokens")
     if shape.tools and not _sum_over_domains(scenario, "services"):
-        found.append(f"{name}.tools: there is no plain service")
+        texts.append(f"{name}.tools: there is no plain service")
     large_prompt_tokens = shape.shared_tokens + 2 * shape.turns * (
         shape.new_tokens + shape.out_tokens
     )
     if large_prompt_tokens > scenario.engine.memory_tokens:
-        found.append(f"{name}: its prompts don't fit into an engine")
-    return found
+        texts.append(f"{name}: its prompts don't fit into an engine")
+    return texts
 
 
 def _sum_over_domains(scenario: Scenario, field: str) -> int:
--- a/tests/test_deciding.py
+++ b/tests/test_deciding.py
@@ -55,7 +55,7 @@
     def _prompt(self, *tokens: int) -> tuple[PromptPart, ...]:
         return tuple(PromptPart(f"p{n}", t) for n, t in enumerate(tokens))
 
-    def test_one_request_takes_what_the_arithmetic_says(self) -> None:
+    def test_request_time_matches_hand_calculation(self) -> None:
         """Prefills 1,000 tokens in two chunks of 500, then generates 20."""
         job = self.engine.submit(self._prompt(1_000), 20, 5)
         self.env.run(until=job.done)
@@ -94,7 +94,7 @@
         self.assertTrue(all(job.done.value for job in jobs))
         self.assertGreater(self.env.now, 100 * 8.0)
 
-    def test_lost_engine_answers_nobody_and_is_back_empty(self) -> None:
+    def test_crashed_engine_fails_requests_and_restarts_empty(self) -> None:
         job = self.engine.submit(self._prompt(1_000), 50, 5)
         self.env.run(until=100)
         self.engine.crash()
@@ -135,7 +135,7 @@
 class PlayTest(testtools.TestCase):
     """Tests whole runs of a scenario."""
 
-    def test_same_seed_plays_the_same(self) -> None:
+    def test_same_seed_gives_same_result(self) -> None:
         make = policies.VARIANTS[policies.POLICY]
         found = [world.Simulation(_scenario(), make, 3).run() for _ in range(2)]
         self.assertEqual(found[0], found[1])
@@ -183,17 +183,17 @@
 class PairsTest(testtools.TestCase):
     """Tests paired differences and their significance."""
 
-    def test_difference_that_all_pairs_share_is_told(self) -> None:
+    def test_difference_common_to_all_pairs_is_significant(self) -> None:
         ours = [0.50, 0.70, 0.60, 0.90]
         found = pairs.difference([x + 0.02 for x in ours], ours)
         self.assertAlmostEqual(0.02, found.mean)
         self.assertTrue(found.is_significant)
 
-    def test_noise_is_not_told(self) -> None:
+    def test_noise_is_not_significant(self) -> None:
         found = pairs.difference([0.5, 0.9, 0.6], [0.6, 0.7, 0.65])
         self.assertFalse(found.is_significant)
 
-    def test_one_pair_tells_nothing(self) -> None:
+    def test_one_pair_has_infinite_confidence_interval(self) -> None:
         found = pairs.difference([0.9], [0.1])
         self.assertTrue(math.isinf(found.half))
         self.assertEqual(1, dataclasses.asdict(found)["pairs"])
