--- a/bench/deciding/draws.py
+++ b/bench/deciding/draws.py
@@ -22,14 +22,14 @@
 _SECOND_MS = 1_000.0
 # Upper bound of a draw, as a multiple of its mean.
 _MAX_MEAN_MULTIPLE = 5.0
-_HELPER_TURNS = 2
+_TURNS_PER_SUBAGENT = 2
 # Time per turn that the time limits allow for network delays and records.
 _OVERHEAD_PER_TURN_MS = 68.0
 
 
 @dataclasses.dataclass(frozen=True)
 class ToolCall:
-    """One call to a plain service and its processing time there."""
+    """One call to an application service and its processing time there."""
 
     tool: Tool
     work_ms: float
@@ -119,7 +119,9 @@
     weights = sum(shape.weight for shape in scenario.programs)
     per_program_ms = 0.0
     for shape in scenario.programs:
-        turns = shape.turns * (1 + shape.helpers * shape.width * _HELPER_TURNS)
+        turns = shape.turns * (
+            1 + shape.helpers * shape.width * _TURNS_PER_SUBAGENT
+        )
         read_ms = shape.new_tokens / engine.read_per_ms
         made_ms = shape.out_tokens * step_ms / engine.slots
         per_program_ms += shape.weight / weights * turns * (read_ms + made_ms)
@@ -213,7 +215,11 @@
     if with_helpers and rng.random() < shape.helpers:
         helpers = [
             _draw_agent(
-                rng, shape, f"{name}h{n}", _HELPER_TURNS, with_helpers=False
+                rng,
+                shape,
+                f"{name}h{n}",
+                _TURNS_PER_SUBAGENT,
+                with_helpers=False,
             )
             for n in range(shape.width)
         ]
--- a/bench/deciding/engine.py
+++ b/bench/deciding/engine.py
@@ -165,7 +165,7 @@
         self._order = itertools.count()
         self._progress_tokens = 0.0
         self._advanced_at_ms = 0.0
-        self._changed = env.event()
+        self._wake_event = env.event()
         env.process(self._run())
 
     def load(self) -> Load:
@@ -225,20 +225,20 @@
         self.cache.release(job.prompt)
 
     def _wake(self) -> None:
-        if not self._changed.triggered:
-            self._changed.succeed()
+        if not self._wake_event.triggered:
+            self._wake_event.succeed()
 
     def _run(self) -> Generator[simpy.Event, None, None]:
         while True:
             self._advance()
             self._admit_queued()
             wait_ms = self._ms_to_next_finish()
-            waits: list[simpy.Event] = [self._changed]
+            waits: list[simpy.Event] = [self._wake_event]
             if wait_ms is not None:
                 waits.append(self._env.timeout(wait_ms))
             yield self._env.any_of(waits)
-            if self._changed.triggered:
-                self._changed = self._env.event()
+            if self._wake_event.triggered:
+                self._wake_event = self._env.event()
 
     def _token_rates(self) -> tuple[float, float]:
         """Returns the token rates per ms.
--- a/bench/deciding/scenario.py
+++ b/bench/deciding/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: a deployment, its programs, load and disturbances."""
+"""Scenario files: a deployment, its programs, load, and injected faults."""
 
 from __future__ import annotations
 
@@ -132,7 +132,7 @@
 
 
 class TroubleKind(enum.StrEnum):
-    """Kind of disturbance.
+    """Kind of injected fault or load change.
 
     REPLACE: New engines replace old ones, which drain one after the other.
     SLOW: Processing times of engines are `times` as long for `for_s`.
@@ -151,13 +151,14 @@
 
 
 class Trouble(msgspec.Struct, frozen=True, kw_only=True):
-    """One disturbance.
+    """One injected fault or load change.
 
     Attributes:
         at_s: Start time.
         for_s: Duration.
         share: Affected share of the engines or gateways, at least one.
-        times: Multiplier of SLOW and BURST.
+        times: Factor of the processing times for SLOW and of the rate of new
+            programs for BURST.
     """
 
     kind: TroubleKind
@@ -168,7 +169,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """A deployment, its programs, load and disturbances.
+    """A deployment, its programs, load, and injected faults.
 
     Attributes:
         load: Offered load as a share of the capacity; see `draws.capacity`.
--- a/bench/deciding/service.py
+++ b/bench/deciding/service.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(eq=False)
 class Call:
-    """A request at a plain server.
+    """A call to an application server, which isn't a model engine.
 
     Attributes:
         work_ms: Processing time on a server that isn't nearly full.
@@ -28,7 +28,7 @@
 
 
 class Service:
-    """One plain server."""
+    """One application server, which isn't a model engine."""
 
     def __init__(self, env: simpy.Environment, shape: ServiceShape) -> None:
         self.shape = shape
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -49,7 +49,7 @@
     return sorted(times), problems, unknown, run_count
 
 
-def _apply_program(
+def _apply_program_records(
     shard_state: shard.Shard, index: int, number: int, turns: int
 ) -> int:
     """Applies the records of a program with several turns to a shard.
@@ -111,7 +111,7 @@
     shard_state = shard.Shard("shard-0")
     index = 0
     for number in range(programs):
-        index = _apply_program(shard_state, index, number, turns)
+        index = _apply_program_records(shard_state, index, number, turns)
     gc.collect()
     memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -93,7 +93,7 @@
         waste_share=wasted_tokens / max(1, filled_tokens),
         link_mb=sum(outcome.link_bytes for outcome in outcomes) / _BYTES_PER_MB,
         refused=sum(outcome.refused for outcome in outcomes),
-        late=sum(outcome.late for outcome in outcomes),
+        late=sum(outcome.late_calls for outcome in outcomes),
         unfinished=sum(outcome.unfinished for outcome in outcomes),
         unknown=sum(outcome.unknown for outcome in outcomes),
     )
--- a/bench/world.py
+++ b/bench/world.py
@@ -72,7 +72,7 @@
         latencies: latency of each program without a parent.
         by_shape: the same latencies by shape of the program.
         refused: how many times the scheduler refused a call.
-        late: calls answered after their deadline.
+        late_calls: calls answered after their deadline.
         floors: lower bounds of the latencies: the time that the same programs
             take on idle servers that hold every prefix.
         unfinished: programs still active at the end of the run; `latencies`
@@ -85,7 +85,7 @@
     waste: CacheWaste = dataclasses.field(default_factory=CacheWaste)
     link_bytes: int = 0
     refused: int = 0
-    late: int = 0
+    late_calls: int = 0
     floors: list[float] = dataclasses.field(default_factory=list)
     unfinished: int = 0
     unknown: int = 0
@@ -529,7 +529,7 @@
             self._world.outcome.unknown += 1
         latency_ms = self._world.events.now_ms - self.started_ms
         if latency_ms > self._run.script.deadline_ms:
-            self._world.outcome.late += 1
+            self._world.outcome.late_calls += 1
         deliver = functools.partial(self._run.handle_answer, self.step, server)
         self._world.send(
             self._world.leader_domain,
--- a/tests/soakplatform.py
+++ b/tests/soakplatform.py
@@ -380,7 +380,10 @@
         return f"hang up {name}"
 
     async def _wipe(self) -> str:
-        """Deletes one disk; the next only after all data is copied again."""
+        """Deletes the data of one host and waits until it is copied again.
+
+        Does nothing while an earlier call still waits.
+        """
         if self._disk_lock.locked():
             return ""
         name = self._rng.choice(self._names_with_role("keeper", "store"))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -182,7 +182,7 @@
         costs 150 ms on the slow engines and 10 ms on the fast ones.
         """
         for per_ms, wanted in ((20, "s0"), (300, "s1")):
-            balancer = _balancer(_learned(per_ms))
+            balancer = _balancer(_learned_speeds(per_ms))
             servers = [_server(n) for n in range(2)]
             call = RouteCall(
                 "x", prompt=(PromptPart("mine", 3_000),), max_tokens=200
@@ -195,7 +195,7 @@
             self.assertEqual(wanted, choice.instance.id)
 
 
-def _learned(per_ms: float) -> Speeds:
+def _learned_speeds(per_ms: float) -> Speeds:
     """Returns speeds learned from engines that prefill `per_ms` tokens/ms."""
     learned_speeds = Speeds()
     for number in range(64):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,7 +20,7 @@
     return items.Account(name=name, key_sha256=digest)
 
 
-def change(
+def config_change(
     request_id: str, revision: int, *upserts: items.Item, **fields: Any
 ) -> changes.ConfigChanged:
     """Returns a change with a digest of its content."""
@@ -47,10 +47,10 @@
         the first one.
         """
         state = control.ControlState()
-        state.apply(1, change("a", 0, account("ruegg")))
-        first = state.apply(2, change("b", 1, account("kunci")))
+        state.apply(1, config_change("a", 0, account("ruegg")))
+        first = state.apply(2, config_change("b", 1, account("kunci")))
         second = state.apply(
-            3, change("c", 1, account("other"), operator="ben")
+            3, config_change("c", 1, account("other"), operator="ben")
         )
         assert isinstance(first, control.ChangeResult)
         assert isinstance(second, control.ChangeResult)
@@ -75,12 +75,14 @@
         resend is refused because its base revision is out of date.
         """
         state = control.ControlState()
-        first = state.apply(1, change("a", 0, account("ruegg")))
+        first = state.apply(1, config_change("a", 0, account("ruegg")))
         for number in range(20_000):
-            state.apply(2, change(f"x{number}", number + 1, account("kunci")))
-        again = state.apply(3, change("a", 0, account("ruegg")))
+            state.apply(
+                2, config_change(f"x{number}", number + 1, account("kunci"))
+            )
+        again = state.apply(3, config_change("a", 0, account("ruegg")))
         self.assertEqual(first, again)
-        late_resend = change(
+        late_resend = config_change(
             "a", 0, account("ruegg"), at_ms=control.RESULT_RETENTION_MS + 1
         )
         result = state.apply(4, late_resend)
@@ -95,8 +97,10 @@
         second one is refused and marked as reusing the id.
         """
         state = control.ControlState()
-        state.apply(1, change("a", 0, account("ruegg")))
-        other = state.apply(2, change("a", 0, account("kunci"), operator="b"))
+        state.apply(1, config_change("a", 0, account("ruegg")))
+        other = state.apply(
+            2, config_change("a", 0, account("kunci"), operator="b")
+        )
         assert isinstance(other, control.ChangeResult)
         self.assertEqual((False, True), (other.accepted, other.reused))
         self.assertNotIn("kunci", state.cfg.accounts)
@@ -116,7 +120,7 @@
         sent_updates: list[changes.ConfigUpdate] = []
         for step in range(400):
             names = [f"a{rng.randrange(30)}" for _ in range(2)]
-            record = change(
+            record = config_change(
                 f"r{step}",
                 state.revision,
                 account(names[0], str(step)),
@@ -161,7 +165,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.state = control.ControlState()
-        self.state.apply(1, change("a", 0, account("ruegg")))
+        self.state.apply(1, config_change("a", 0, account("ruegg")))
         self.leader = self.elect(0)
         self.entry = changes.ProcessInfo(
             process="entry-1", incarnation="i1", role="entry"
@@ -208,7 +212,7 @@
         has confirmed the change. Until then the change is not in force.
         """
         self.assertEqual(LEASE_MS, self.renew(1, 100).lease_ms)
-        self.state.apply(2, change("b", 1, account("kunci")))
+        self.state.apply(2, config_change("b", 1, account("kunci")))
         lease = self.renew(1, 200)
         self.assertEqual(0, lease.lease_ms)
         assert lease.update is not None
@@ -226,7 +230,7 @@
         the process's lease has expired, and not before.
         """
         self.renew(1, 100)
-        self.state.apply(2, change("b", 1, account("kunci")))
+        self.state.apply(2, config_change("b", 1, account("kunci")))
         end = 100 + LEASE_MS + MAX_CLOCK_DRIFT_MS
         self.assertEqual(["entry-1"], self.lagging_processes(2, end - 1))
         self.assertEqual([], self.lagging_processes(2, end))
@@ -240,7 +244,7 @@
         """
         self.renew(1, 100)
         self.leader = self.elect(1_000)
-        self.state.apply(2, change("b", 1, account("kunci")))
+        self.state.apply(2, config_change("b", 1, account("kunci")))
         self.assertEqual(["entry-1"], self.lagging_processes(2, 100 + LEASE_MS))
         self.assertEqual(
             [], self.lagging_processes(2, 1_000 + LEASE_MS + MAX_CLOCK_DRIFT_MS)
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -300,12 +300,12 @@
             for name in system.hosts:
                 system.start(name)
 
-            async def served() -> bool:
+            async def new_key_accepted() -> bool:
                 status = await self._probe_status(system, "k-old")
                 self.assertNotEqual(200, status)
                 return await self._probe_status(system, "k-new") == 200
 
-            await system.wait_until(served)
+            await system.wait_until(new_key_accepted)
             await self._until_refused(system, "k-old")
 
         self.run_test(work)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -125,7 +125,7 @@
     def test_connection_idle_for_long_is_not_used_for_what_runs_once(
         self,
     ) -> None:
-        """Guards against unanswered calls that must not be repeated.
+        """Guards against sending a run-once call on a long-idle connection.
 
         A server drops idle connections silently and before its stated timeout.
         The next request on one is reset, and whether it ran is then unknown.
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Well below the timeout of a single ask.
+# Well below the timeout of a single request to a keeper.
 _MAX_FAILOVER_S = 0.35
 
 
 class _Keeper:
-    """A fake keeper that reports a leader and optionally answers asks."""
+    """A fake keeper that reports a leader and optionally answers requests."""
 
     def __init__(self, *, answers: bool) -> None:
         self.ask_count = 0
@@ -103,10 +103,10 @@
 
 
 class LeaderTest(base.TestCase):
-    """Leaders that change while an ask is pending."""
+    """Leaders that change while a request is pending."""
 
     def test_ask_to_a_frozen_leader_goes_to_the_next_one(self) -> None:
-        """Guards against asks that wait for the reply of a frozen leader.
+        """Guards against requests that wait for the reply of a frozen leader.
 
         The leader's host freezes while asks are pending, and another keeper is
         elected in less than a second. Turns whose asks wait for the frozen
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -47,24 +47,24 @@
         self.program = programs[0]
 
     @property
-    def entry(self) -> Entry:
+    def last_used_entry(self) -> Entry:
         sends = self.program.sends
         return self.world.entries[sends[-1].entry if sends else "e0"]
 
     @property
-    def server(self) -> Server:
+    def last_used_server(self) -> Server:
         seen = [s for s in self.world.seen if s.key.program == _TARGET]
         return self.world.servers[seen[-1].server if seen else "m0"]
 
 
 def _delay(target: FaultTarget) -> None:
-    entry = target.entry
+    entry = target.last_used_entry
     entry.delay = 700
     target.world.after(1_500, lambda: setattr(entry, "delay", 0))
 
 
 def _silence(target: FaultTarget) -> None:
-    server = target.server
+    server = target.last_used_server
     server.silent = True
     target.world.after(4_000, lambda: setattr(server, "silent", False))
 
@@ -75,21 +75,21 @@
 
 
 def _leave(target: FaultTarget) -> None:
-    target.server.leaving_since = target.world.now
+    target.last_used_server.leaving_since = target.world.now
 
 
 def _kill_entry_and_leader(target: FaultTarget) -> None:
     target.world.depose()
-    target.entry.kill()
+    target.last_used_entry.kill()
 
 
 def _kill_server_and_leader(target: FaultTarget) -> None:
-    target.server.kill()
+    target.last_used_server.kill()
     target.world.depose()
 
 
 def _duplicate(target: FaultTarget) -> None:
-    target.entry.ask_again()
+    target.last_used_entry.ask_again()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -109,24 +109,30 @@
 
 FAULTS = {
     "entry killed": Fault(
-        lambda target: target.entry.kill(), 3_600, allows_unknown=True
+        lambda target: target.last_used_entry.kill(), 3_600, allows_unknown=True
+    ),
+    "entry frozen": Fault(
+        lambda target: target.last_used_entry.freeze(1_500), 2_000
     ),
-    "entry frozen": Fault(lambda target: target.entry.freeze(1_500), 2_000),
     "entry frozen long": Fault(
-        lambda target: target.entry.freeze(9_000), 5_600, allows_unknown=True
+        lambda target: target.last_used_entry.freeze(9_000),
+        5_600,
+        allows_unknown=True,
+    ),
+    "message lost": Fault(
+        lambda target: target.last_used_entry.break_stream(), 700
     ),
-    "message lost": Fault(lambda target: target.entry.break_stream(), 700),
     "entry unheard": Fault(
-        lambda target: target.entry.lose_messages("mute"), 3_000
+        lambda target: target.last_used_entry.lose_messages("mute"), 3_000
     ),
     "leader unheard": Fault(
-        lambda target: target.entry.lose_messages("deaf"), 3_000
+        lambda target: target.last_used_entry.lose_messages("deaf"), 3_000
     ),
     "message delayed": Fault(_delay, 2_500),
     "message duplicated": Fault(_duplicate, 500),
     "messages crossed": Fault(_cross, 2_500),
     "server killed": Fault(
-        lambda target: target.server.kill(), 500, allows_unknown=True
+        lambda target: target.last_used_server.kill(), 500, allows_unknown=True
     ),
     "server silent": Fault(_silence, 2_600, allows_unknown=True),
     "leader changed": Fault(lambda target: target.world.depose(), 1_200),
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -155,7 +155,10 @@
         self.assertEqual(EngineSpeed(), placer.reported_speed("models"))
 
     def test_new_leader_starts_without_placements(self) -> None:
-        """Guards against counts of turns that ended under another leader."""
+        """Guards against placements left from an earlier term as leader.
+
+        Their turns may have ended meanwhile under another leader.
+        """
         placer, servers = _placer(), _servers()
         placer.place("t", _turn("s"), servers, None, 0)
         placer.reset()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -58,14 +58,20 @@
         return max((self.folder / "log").iterdir())
 
     def take_snapshot(
-        self, log: GroupLog, index: int, base_index: int, refs: list[int]
+        self,
+        log: GroupLog,
+        index: int,
+        base_index: int,
+        referenced_indexes: list[int],
     ) -> None:
         description = snapshots.Description(
             group=log.name,
             index=index,
             term=1,
             members=Members(),
-            referenced=snapshots.pack_indexes(array.array("Q", refs)),
+            referenced=snapshots.pack_indexes(
+                array.array("Q", referenced_indexes)
+            ),
         )
         taken = snapshots.Snapshot(description, b"state at %d" % index)
         log.save_snapshot(taken, base_index, 1, Members())
@@ -208,7 +214,7 @@
         )
 
     def test_on_a_full_disk_nothing_is_taken(self) -> None:
-        """Guards against acknowledging or losing a batch on a full disk.
+        """Guards against a batch that is acknowledged unwritten, or dropped.
 
         Half of the batch is written when the disk becomes full. Once there is
         space, the whole batch must be written, and all records added since.
@@ -294,12 +300,12 @@
     def test_referenced_records_outlive_segments_and_restarts(self) -> None:
         opened = self.open(size=2_000)
         log, other = opened.group_log("g"), opened.group_log("other")
-        refs: list[int] = []
+        referenced_indexes: list[int] = []
         for first in range(1, 200, 10):
             log.append(entries(first, first + 9))
             opened.sync()
-            refs.append(first)
-            self.take_snapshot(log, first + 9, first + 5, refs)
+            referenced_indexes.append(first)
+            self.take_snapshot(log, first + 9, first + 5, referenced_indexes)
             opened.remove_unneeded_segments()
             self.assertEqual(first + 5, log.base)
         other.append(entries(1, 1))
@@ -307,7 +313,7 @@
         count = opened.segment_count()
         self.assertLess(count, 12)
         for _ in range(2):
-            for index in refs:
+            for index in referenced_indexes:
                 self.assertEqual(entries(index, index)[0], log.read(index))
             self.assertRaises(StorageError, log.read, 2)
             self.assertEqual(entries(200, 200)[0], log.read(200))
--- a/tests/test_turnrequests.py
+++ b/tests/test_turnrequests.py
@@ -100,7 +100,7 @@
 
 
 class TurnRequestsTest(base.TestCase):
-    """The server in the reply to a begin, and when a turn stops counting."""
+    """Which server a begin request gets and which turns count as its load."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/test_unresponsive.py
+++ b/tests/test_unresponsive.py
@@ -89,7 +89,10 @@
         self.assertEqual({"s0", "s1"}, self._eject("s0", "s1"))
 
     def test_overloaded_service_keeps_all_its_servers(self) -> None:
-        """Guards against a burst that directs the whole load to one server."""
+        """Guards against ejecting most servers because a burst slows them.
+
+        The remaining server would get the whole load.
+        """
         self.assertEqual(set(), self._eject("s0", "s1", "s2"))
 
     def test_servers_slow_in_turn_are_not_all_ejected(self) -> None:
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -155,9 +155,9 @@
         )
 
     def test_overdue_program_is_late_whatever_it_lost(self) -> None:
-        """Guards against a late program that counts as in time.
+        """Guards against ranking a program past its time limit as in time.
 
-        Its tools took long, but its turns lost no time.
+        Its tools took long, but its turns were not delayed.
         """
         program_status = ProgramStatus(
             allowed_ms=1_000, elapsed_ms=1_100, turns=3
