--- a/bench/cache.py
+++ b/bench/cache.py
@@ -15,14 +15,14 @@
     Attributes:
         program: id of the program; empty for the shared system prompt.
         tokens: number of tokens.
-        fills: how many times engines have computed the segment.
-        wasted_fills: how many of these fills were wasted.
+        fill_count: how many times engines have computed the segment.
+        wasted_fill_count: how many of these fills were wasted.
     """
 
     program: str
     tokens: int
-    fills: int = 0
-    wasted_fills: int = 0
+    fill_count: int = 0
+    wasted_fill_count: int = 0
 
 
 @dataclasses.dataclass
@@ -44,17 +44,17 @@
         self.filled_tokens += tokens
         if recomputed:
             self.recomputed_tokens += tokens
-            if segment.wasted_fills < segment.fills:
+            if segment.wasted_fill_count < segment.fill_count:
                 self._record_waste(segment, tokens)
-        segment.fills += 1
+        segment.fill_count += 1
 
     def record_eviction(self, segment: Segment, reused: bool) -> None:
         """Counts an evicted fill as wasted unless it was reused."""
-        if not reused and segment.wasted_fills < segment.fills:
+        if not reused and segment.wasted_fill_count < segment.fill_count:
             self._record_waste(segment, segment.tokens)
 
     def _record_waste(self, segment: Segment, tokens: int) -> None:
-        segment.wasted_fills += 1
+        segment.wasted_fill_count += 1
         self.wasted_tokens += tokens
 
 
@@ -106,7 +106,7 @@
         for segment in segments[:hit_count]:
             self._entries[segment].reused = True
         for segment in missing:
-            recomputed = segment.fills > 0
+            recomputed = segment.fill_count > 0
             self._waste.record_fill(segment, segment.tokens, recomputed)
             self._entries[segment] = _CachedSegment(
                 segment, segment.tokens, pins=1
--- a/bench/logbench.py
+++ b/bench/logbench.py
@@ -126,7 +126,7 @@
         shutil.rmtree(self.folder)
 
 
-def commit() -> None:
+def measure_commit() -> None:
     """Measures commits per second and latency by outstanding records."""
     cluster = ReplicaCluster()
     leader = cluster.leader()
@@ -158,7 +158,7 @@
     return {f"disk_{name}": value for name, value in figures.items()}
 
 
-def failover() -> None:
+def measure_failover() -> None:
     """Measures the time until another replica leads.
 
     The old leader is killed or suspended.
@@ -192,7 +192,7 @@
         )
 
 
-def recovery() -> None:
+def measure_recovery() -> None:
     """Measures time and memory to load logs of several sizes at the start."""
     for count in (10_000, 100_000, 400_000):
         folder = pathlib.Path(tempfile.mkdtemp(prefix="logbench-"))
@@ -234,7 +234,7 @@
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
-def idle() -> None:
+def measure_idle_groups() -> None:
     """Measures processor time and memory of replicas with idle groups."""
     for groups in (1, 10, 100):
         cluster = ReplicaCluster(groups)
@@ -257,7 +257,7 @@
         cluster.kill()
 
 
-def sync() -> None:
+def compare_syncs() -> None:
     """Compares syncs on the event loop with syncs in a thread."""
     uvloop.run(_measure_syncs())
 
@@ -365,11 +365,11 @@
 
 
 _PARTS: dict[str, Callable[[], None]] = {
-    "commit": commit,
-    "failover": failover,
-    "recovery": recovery,
-    "idle": idle,
-    "sync": sync,
+    "commit": measure_commit,
+    "failover": measure_failover,
+    "recovery": measure_recovery,
+    "idle": measure_idle_groups,
+    "sync": compare_syncs,
 }
 
 
