--- a/bench/deciding/gateway.py
+++ b/bench/deciding/gateway.py
@@ -128,7 +128,7 @@
         return outcome
 
     def serve_call(self, call: ToolCall) -> Steps:
-        """Serves a call to a plain service."""
+        """Serves a call to an application service."""
         route = call.tool.name
         sent_to: list[str] = []
         while len(sent_to) <= _MAX_REFUSALS:
--- a/bench/deciding/scenario.py
+++ b/bench/deciding/scenario.py
@@ -50,7 +50,7 @@
 
 
 class ServiceShape(msgspec.Struct, frozen=True, kw_only=True):
-    """A plain server.
+    """An application server, which isn't a model engine.
 
     Attributes:
         queue: Largest number of queued requests; it refuses more.
@@ -74,7 +74,7 @@
 
 
 class Tool(msgspec.Struct, frozen=True, kw_only=True):
-    """Calls to a plain service after a turn.
+    """Calls to an application service after a turn.
 
     Attributes:
         share: Share of the turns that such calls follow.
--- a/bench/deciding/service.py
+++ b/bench/deciding/service.py
@@ -1,4 +1,4 @@
-"""Simulates a plain server, which gets slower when it is nearly full."""
+"""Simulates an application server, which gets slower when it is nearly full."""
 
 from __future__ import annotations
 
--- a/bench/deciding/world.py
+++ b/bench/deciding/world.py
@@ -1,4 +1,4 @@
-"""Simulates one run of a scenario, with its disturbances, to its result."""
+"""Simulates one run of a scenario, with its faults and load changes."""
 
 from __future__ import annotations
 
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -1,4 +1,4 @@
-"""Simulated model engine and plain service on a simulated clock."""
+"""Simulated model engine and application server on a simulated clock."""
 
 from __future__ import annotations
 
--- a/tests/test_deciding.py
+++ b/tests/test_deciding.py
@@ -119,7 +119,7 @@
 
 
 class ServiceTest(testtools.TestCase):
-    """Tests a plain server."""
+    """Tests an application server."""
 
     def test_queue_is_served_in_order_and_bounded(self) -> None:
         env = simpy.Environment()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,7 +13,7 @@
 
 
 class ServiceFaultsTest(cells.FaultsTest):
-    """Faults between an entry and a plain service."""
+    """Faults between an entry and an application service."""
 
     def test_service_breaks_off_after_the_effect(self) -> None:
         """Guards against the HTTP library resending a payment by itself.
--- a/tests/test_keepers.py
+++ b/tests/test_keepers.py
@@ -1,4 +1,4 @@
-"""Tests asks of a gateway to the leading keeper, on real sockets."""
+"""Tests requests of a gateway to the leading keeper, on real sockets."""
 
 from __future__ import annotations
 
@@ -108,9 +108,9 @@
     def test_ask_to_a_frozen_leader_goes_to_the_next_one(self) -> None:
         """Guards against requests that wait for the reply of a frozen leader.
 
-        The leader's host freezes while asks are pending, and another keeper is
-        elected in less than a second. Turns whose asks wait for the frozen
-        leader's reply would lose as much time again.
+        The leader's host freezes while requests are pending, and another keeper
+        is elected in less than a second. Turns whose requests wait for the
+        frozen leader's reply would be delayed by as much time again.
         """
 
         async def main() -> None:
--- a/tests/test_speeds.py
+++ b/tests/test_speeds.py
@@ -48,7 +48,7 @@
 
 
 class SpeedsTest(testtools.TestCase):
-    """Engines and plain services of all speeds, and implausible timings."""
+    """Engines and services of all speeds, and implausible timings."""
 
     def test_engines_of_all_speeds_are_learned(self) -> None:
         """Guards against assumed speeds, as services differ tenfold.
--- a/tests/test_unresponsive.py
+++ b/tests/test_unresponsive.py
@@ -1,4 +1,4 @@
-"""Tests the detection of unresponsive plain servers.
+"""Tests the detection of unresponsive application servers.
 
 Many gateways, each with few calls, share a server that hangs.
 """
