--- a/bench/deciding/sweep.py
+++ b/bench/deciding/sweep.py
@@ -30,7 +30,7 @@
 
 
 def draw(seed: int) -> Scenario:
-    """Returns a random deployment with a random load and a random fault or load change."""
+    """Returns a random deployment, load, and fault or load change."""
     rng = np.random.default_rng([seed, 7])
     engines = round(_draw_log_uniform(rng, 3, 30))
     gateways = max(_DOMAIN_COUNT, round(_draw_log_uniform(rng, 3, 200)))
