--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -87,8 +87,8 @@
     def test_lost_disks_one_after_the_other_lose_nothing(self) -> None:
         """Two keepers and two stores lose their disks, one after the other.
 
-        No operator confirms anything. If the copies were not made again after
-        the first loss, the second loss would delete the last one.
+        No operator confirms anything. If no second copy were made after the
+        first loss, the second loss would delete the only one left.
         """
 
         async def work(system: Deployment) -> None:
